--- /dev/null
+++ b/src/main/java/beechfall/Effect.java
@@ -0,0 +1,8 @@
+package beechfall;
+
+/** What a request may have done when it is sent twice. */
+public enum Effect {
+    SAFE,
+    KEYED,
+    UNSAFE
+}
--- a/src/main/java/beechfall/Policy.java
+++ b/src/main/java/beechfall/Policy.java
@@ -1,5 +1,17 @@
 package beechfall;
 
+import beechfall.Action.Cancel;
+import beechfall.Action.Fail;
+import beechfall.Action.Refuse;
+import beechfall.Action.Release;
+import beechfall.Action.Send;
+import beechfall.Action.SetTimer;
+import beechfall.Action.Watch;
+import beechfall.Event.Arrival;
+import beechfall.Event.AttemptEnded;
+import beechfall.Event.ClientGone;
+import beechfall.Event.Members;
+import beechfall.Event.TimerFired;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Comparator;
--- a/src/main/java/beechfall/proxy/Backends.java
+++ b/src/main/java/beechfall/proxy/Backends.java
@@ -1,7 +1,9 @@
 package beechfall.proxy;
 
-import beechfall.Balancer;
-import beechfall.Balancer.Outcome;
+import beechfall.Backend;
+import beechfall.ListKind;
+import beechfall.Outcome;
+import beechfall.State;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -62,7 +64,7 @@
     record Answer(HttpHeaders headers, ByteBuf body) {}
 
     /** A line of the list, and where this proxy finds that backend. */
-    record Listed(Balancer.Backend backend, InetSocketAddress address) {}
+    record Listed(Backend backend, InetSocketAddress address) {}
 
     /** Hears the one end of an attempt; {@code answer} is there for {@link Outcome#OK} alone. */
     interface End {
@@ -99,7 +101,7 @@
      *
      * @return the attempts that are to be stopped, as no byte of theirs has gone to a backend that wants nothing new
      */
-    List<Attempt> update(Balancer.ListKind kind, List<Listed> listed) {
+    List<Attempt> update(ListKind kind, List<Listed> listed) {
         var unsent = new ArrayList<Attempt>();
         var named = new HashSet<String>();
         for (Listed l : listed) {
@@ -114,9 +116,9 @@
                 target = new Target(l.address());
                 targets.put(l.backend().id(), target);
             }
-            target.ready = l.backend().state() == Balancer.State.READY;
+            target.ready = l.backend().state() == State.READY;
         }
-        if (kind != Balancer.ListKind.DELTA) {
+        if (kind != ListKind.DELTA) {
             targets.forEach((id, t) -> t.ready &= named.contains(id));
         }
         targets.values().removeIf(t -> {
--- a/src/main/java/beechfall/proxy/ClientExchange.java
+++ b/src/main/java/beechfall/proxy/ClientExchange.java
@@ -1,6 +1,6 @@
 package beechfall.proxy;
 
-import beechfall.Balancer;
+import beechfall.Effect;
 import io.netty.channel.ChannelFuture;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
 import io.netty.handler.codec.http.FullHttpRequest;
@@ -78,15 +78,15 @@
         }
         HttpHeaders headers = request.headers();
         String requestClass = header(headers, Headers.REQUEST_CLASS);
-        Balancer.Effect effect = frontend.effects.get(requestClass);
+        Effect effect = frontend.effects.get(requestClass);
         if (effect == null) {
             throw new Rejected(HttpResponseStatus.BAD_REQUEST, "unknown " + Headers.REQUEST_CLASS);
         }
-        HttpMethod wanted = effect == Balancer.Effect.SAFE ? HttpMethod.GET : HttpMethod.POST;
+        HttpMethod wanted = effect == Effect.SAFE ? HttpMethod.GET : HttpMethod.POST;
         if (!request.method().equals(wanted)) {
             throw new Rejected(HttpResponseStatus.METHOD_NOT_ALLOWED, "this class is asked for with " + wanted);
         }
-        if (effect == Balancer.Effect.KEYED) {
+        if (effect == Effect.KEYED) {
             header(headers, Headers.IDEMPOTENCY_KEY);
         }
         String tenant = null;
--- a/src/main/java/beechfall/proxy/Discovery.java
+++ b/src/main/java/beechfall/proxy/Discovery.java
@@ -1,8 +1,8 @@
 package beechfall.proxy;
 
 import beechfall.AskBackoff;
-import beechfall.Balancer;
-import beechfall.Balancer.ListKind;
+import beechfall.ListKind;
+import beechfall.Settings;
 import com.fasterxml.jackson.databind.JsonNode;
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
@@ -62,7 +62,7 @@
 
     private long version = EndpointList.NO_VERSION;
 
-    Discovery(Transport transport, Log log, Proxy proxy, InetSocketAddress address, Balancer.Settings settings) {
+    Discovery(Transport transport, Log log, Proxy proxy, InetSocketAddress address, Settings settings) {
         this.loop = transport.loop();
         this.firstCallEnded = loop.newPromise();
         this.transport = transport;
--- a/src/main/java/beechfall/proxy/EndpointList.java
+++ b/src/main/java/beechfall/proxy/EndpointList.java
@@ -1,6 +1,7 @@
 package beechfall.proxy;
 
-import beechfall.Balancer;
+import beechfall.Backend;
+import beechfall.State;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
 import java.io.InputStream;
@@ -23,10 +24,10 @@
     private static final int LOGGED_CHARACTERS = 200;
     private static final double DEFAULT_WEIGHT = 1;
     private static final long MICROS_PER_MILLI = 1_000;
-    private static final Map<String, Balancer.State> STATES = Map.of(
-            "ready", Balancer.State.READY,
-            "draining", Balancer.State.DRAINING,
-            "gone", Balancer.State.GONE);
+    private static final Map<String, State> STATES = Map.of(
+            "ready", State.READY,
+            "draining", State.DRAINING,
+            "gone", State.GONE);
 
     /** A document that is no list; the message says why. */
     static final class MalformedListException extends Exception {
@@ -84,7 +85,7 @@
     }
 
     private static Backends.Listed endpoint(JsonNode entry) {
-        Balancer.State state = STATES.get(entry.path("state").asText());
+        State state = STATES.get(entry.path("state").asText());
         InetSocketAddress address = Config.address(entry.path("addr").asText());
         String id = entry.path("id").asText();
         double weight = entry.path("weight").asDouble(DEFAULT_WEIGHT);
@@ -92,7 +93,7 @@
             return null;
         }
         return new Backends.Listed(
-                new Balancer.Backend(
+                new Backend(
                         id,
                         state,
                         entry.path("kind").asText(null),
--- a/src/main/java/beechfall/proxy/GracefulShutdown.java
+++ b/src/main/java/beechfall/proxy/GracefulShutdown.java
@@ -1,6 +1,6 @@
 package beechfall.proxy;
 
-import beechfall.Balancer;
+import beechfall.RequestClass;
 import io.netty.channel.EventLoop;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
@@ -60,7 +60,7 @@
 
     private long longestDeadlineMs() {
         long longestUs = config.settings().classes().stream()
-                .mapToLong(Balancer.RequestClass::deadlineUs)
+                .mapToLong(RequestClass::deadlineUs)
                 .max()
                 .orElse(0);
         return longestUs / 1_000;
--- a/src/main/java/beechfall/proxy/Proxy.java
+++ b/src/main/java/beechfall/proxy/Proxy.java
@@ -1,9 +1,12 @@
 package beechfall.proxy;
 
+import beechfall.Action;
 import beechfall.Balancer;
-import beechfall.Balancer.Action;
-import beechfall.Balancer.Event;
-import beechfall.Balancer.Outcome;
+import beechfall.Event;
+import beechfall.Limits;
+import beechfall.ListKind;
+import beechfall.Outcome;
+import beechfall.Settings;
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
 import java.util.ArrayDeque;
@@ -71,7 +74,7 @@
     private final Clock clock;
     private final EventLoop loop;
     private final Log log;
-    private final Balancer.Limits limits;
+    private final Limits limits;
     private final Balancer module;
     private final Backends backends;
     private final Map<String, Request> requests = new HashMap<>();
@@ -81,7 +84,7 @@
     private boolean handling;
     private boolean ending;
 
-    Proxy(Clock clock, EventLoop loop, Log log, Balancer.Settings settings, Balancer module, Backends backends) {
+    Proxy(Clock clock, EventLoop loop, Log log, Settings settings, Balancer module, Backends backends) {
         this.clock = clock;
         this.loop = loop;
         this.log = log;
@@ -118,7 +121,7 @@
         var r = new Request(incoming, reply);
         requests.put(incoming.id(), r);
         r.safety = loop.schedule(() -> overdue(r), incoming.deadlineUs() + SAFETY_US - now, TimeUnit.MICROSECONDS);
-        deliver(new Balancer.Arrival(
+        deliver(new Event.Arrival(
                 incoming.id(),
                 incoming.requestClass(),
                 incoming.tenant(),
@@ -138,7 +141,7 @@
 
     /** Nothing more is owed to a client. What has not gone out whole need not, even where the module may cancel nothing. */
     private void left(Request r) {
-        deliver(new Balancer.ClientGone(r.incoming.id()));
+        deliver(new Event.ClientGone(r.incoming.id()));
         // A copy, as an end may bring the next attempt; not List.copyOf, which takes no null.
         new ArrayList<>(r.attempts).forEach(a -> {
             if (a != null && !a.written()) {
@@ -162,10 +165,10 @@
         List.copyOf(requests.values()).forEach(this::overdue);
     }
 
-    /** Discovery's news, or {@link Balancer.ListKind#FAILED} where a call has brought none. */
-    void members(Balancer.ListKind kind, List<Backends.Listed> listed) {
-        List<Backends.Attempt> unsent = kind == Balancer.ListKind.FAILED ? List.of() : backends.update(kind, listed);
-        deliver(new Balancer.Members(
+    /** Discovery's news, or {@link ListKind#FAILED} where a call has brought none. */
+    void members(ListKind kind, List<Backends.Listed> listed) {
+        List<Backends.Attempt> unsent = kind == ListKind.FAILED ? List.of() : backends.update(kind, listed);
+        deliver(new Event.Members(
                 kind, listed.stream().map(Backends.Listed::backend).toList()));
         // The module has heard why by now, and sends them elsewhere.
         unsent.forEach(a -> a.abort(Outcome.NOT_SENT));
@@ -178,7 +181,7 @@
         } else if (answer != null) {
             answer.body().release();
         }
-        deliver(new Balancer.AttemptEnded(r.incoming.id(), number, backend, outcome, latencyUs, r.over));
+        deliver(new Event.AttemptEnded(r.incoming.id(), number, backend, outcome, latencyUs, r.over));
         forget(r);
     }
 
@@ -239,8 +242,7 @@
 
     /** An error costs the request that it came with, not the proxy and all the others that it holds. */
     private void failRequestOf(Event event) {
-        String id =
-                event instanceof Balancer.Arrival a ? a.id() : event instanceof Balancer.AttemptEnded a ? a.id() : null;
+        String id = event instanceof Event.Arrival a ? a.id() : event instanceof Event.AttemptEnded a ? a.id() : null;
         if (id != null) {
             finish(id, Reply::failed);
         }
@@ -249,31 +251,31 @@
     // Actions
 
     private void carryOut(Action action) {
-        if (action instanceof Balancer.Send a) {
+        if (action instanceof Action.Send a) {
             send(a);
-        } else if (action instanceof Balancer.SetTimer a) {
+        } else if (action instanceof Action.SetTimer a) {
             loop.schedule(
-                    () -> deliver(new Balancer.TimerFired(a.token())),
+                    () -> deliver(new Event.TimerFired(a.token())),
                     Math.max(0, a.atUs() - clock.now()),
                     TimeUnit.MICROSECONDS);
-        } else if (action instanceof Balancer.Refuse a) {
+        } else if (action instanceof Action.Refuse a) {
             finish(a.id(), reply -> reply.refused(a.retryAfterUs()));
-        } else if (action instanceof Balancer.Fail a) {
+        } else if (action instanceof Action.Fail a) {
             finish(a.id(), Reply::failed);
-        } else if (action instanceof Balancer.Cancel a) {
+        } else if (action instanceof Action.Cancel a) {
             Request r = requests.get(a.id());
             Backends.Attempt attempt =
                     r == null || a.attempt() >= r.attempts.size() ? null : r.attempts.get(a.attempt());
             if (attempt != null && limits.cancel()) {
                 attempt.abort(Outcome.CANCELLED);
             }
-        } else if (action instanceof Balancer.Release a) {
+        } else if (action instanceof Action.Release a) {
             backends.release(a.backend());
-        } else if (action instanceof Balancer.Watch a) {
+        } else if (action instanceof Action.Watch a) {
             discovery.watch(a.on());
-        } else if (action instanceof Balancer.Fetch) {
+        } else if (action instanceof Action.Fetch) {
             discovery.fetch();
-        } else if (action instanceof Balancer.Log a) {
+        } else if (action instanceof Action.Log a) {
             log.line(a.text());
         } else {
             // The module never probes, and where this proxy runs it may not.
@@ -289,7 +291,7 @@
         }
     }
 
-    private void send(Balancer.Send send) {
+    private void send(Action.Send send) {
         Request r = requests.get(send.id());
         if (r == null) {
             return;
@@ -312,7 +314,7 @@
         }
         r.attempts.add(attempt);
         if (attempt == null) {
-            deliver(new Balancer.AttemptEnded(send.id(), number, send.backend(), Outcome.NOT_SENT, 0, r.over));
+            deliver(new Event.AttemptEnded(send.id(), number, send.backend(), Outcome.NOT_SENT, 0, r.over));
         } else {
             r.out++;
             attempt.start();
--- a/src/main/java/beechfall/proxy/Warmup.java
+++ b/src/main/java/beechfall/proxy/Warmup.java
@@ -1,7 +1,9 @@
 package beechfall.proxy;
 
-import beechfall.Balancer;
+import beechfall.Effect;
 import beechfall.Policy;
+import beechfall.RequestClass;
+import beechfall.Tenant;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.netty.buffer.Unpooled;
@@ -208,10 +210,10 @@
                 done.countDown();
                 return;
             }
-            List<Balancer.RequestClass> classes = config.settings().classes();
-            List<Balancer.Tenant> tenants = config.settings().tenants();
-            Balancer.RequestClass type = classes.get(sent % classes.size());
-            boolean safe = type.effect() == Balancer.Effect.SAFE;
+            List<RequestClass> classes = config.settings().classes();
+            List<Tenant> tenants = config.settings().tenants();
+            RequestClass type = classes.get(sent % classes.size());
+            boolean safe = type.effect() == Effect.SAFE;
             var request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
                     safe ? HttpMethod.GET : HttpMethod.POST,
@@ -228,7 +230,7 @@
             }
             if (!safe) {
                 HttpUtil.setContentLength(request, BODY.length);
-                if (type.effect() == Balancer.Effect.KEYED) {
+                if (type.effect() == Effect.KEYED) {
                     request.headers().set(Headers.IDEMPOTENCY_KEY, Integer.toHexString(sent));
                 }
             }
--- a/src/main/java/beechfall/wire/Codec.java
+++ b/src/main/java/beechfall/wire/Codec.java
@@ -1,34 +1,41 @@
 package beechfall.wire;
 
+import beechfall.Action;
+import beechfall.Backend;
 import beechfall.Balancer;
+import beechfall.Event;
+import beechfall.ListKind;
+import beechfall.Outcome;
+import beechfall.Settings;
+import beechfall.State;
 import java.util.HashMap;
 import java.util.Map;
 
 /** Translates between the lines of the wire and the events and actions of {@link Balancer}. */
 final class Codec {
-    private static final Map<String, Balancer.Outcome> OUTCOMES = Map.of(
-            "delivered", Balancer.Outcome.OK,
-            "app_error", Balancer.Outcome.ERROR,
-            "shed", Balancer.Outcome.FULL,
-            "expired", Balancer.Outcome.TIMEOUT,
-            "dial_failed", Balancer.Outcome.CONNECT_FAILED,
-            "dropped", Balancer.Outcome.RESET,
-            "revoked", Balancer.Outcome.CANCELLED,
-            "unused", Balancer.Outcome.NOT_SENT);
-    private static final Map<String, Balancer.State> STATES = Map.of(
-            "IN", Balancer.State.READY,
-            "LAME", Balancer.State.DRAINING,
-            "OUT", Balancer.State.GONE);
-    private static final Map<String, Balancer.ListKind> LISTS = Map.of(
-            "patch", Balancer.ListKind.DELTA,
-            "whole", Balancer.ListKind.FULL,
-            "stale_copy", Balancer.ListKind.CACHED,
-            "broken", Balancer.ListKind.FAILED);
+    private static final Map<String, Outcome> OUTCOMES = Map.of(
+            "delivered", Outcome.OK,
+            "app_error", Outcome.ERROR,
+            "shed", Outcome.FULL,
+            "expired", Outcome.TIMEOUT,
+            "dial_failed", Outcome.CONNECT_FAILED,
+            "dropped", Outcome.RESET,
+            "revoked", Outcome.CANCELLED,
+            "unused", Outcome.NOT_SENT);
+    private static final Map<String, State> STATES = Map.of(
+            "IN", State.READY,
+            "LAME", State.DRAINING,
+            "OUT", State.GONE);
+    private static final Map<String, ListKind> LISTS = Map.of(
+            "patch", ListKind.DELTA,
+            "whole", ListKind.FULL,
+            "stale_copy", ListKind.CACHED,
+            "broken", ListKind.FAILED);
 
     private Codec() {}
 
     /** Reads the settings of an {@code up} line. */
-    static Balancer.Settings settings(Fields up) {
+    static Settings settings(Fields up) {
         var values = new HashMap<String, String>();
         for (int i = 0; i < up.size(); i++) {
             values.put(up.key(i), up.value(i));
@@ -37,10 +44,10 @@
     }
 
     /** Reads an event that fits on one line, or returns null for one that the module has no use for. */
-    static Balancer.Event event(String name, Fields in) {
+    static Event event(String name, Fields in) {
         return switch (name) {
             case "incoming" ->
-                new Balancer.Arrival(
+                new Event.Arrival(
                         in.text("op_id"),
                         in.text("kind"),
                         in.optional("user_group"),
@@ -48,33 +55,33 @@
                         in.whole("patience_left_us"),
                         in.flag("repeat"));
             case "completed" ->
-                new Balancer.AttemptEnded(
+                new Event.AttemptEnded(
                         in.text("op_id"),
                         in.small("go"),
                         in.text("backend"),
                         word(in, "how", OUTCOMES),
                         in.whole("cost_time_us"),
                         in.flag("last"));
-            case "deadline_hit" -> new Balancer.TimerFired(in.text("ctx"));
-            case "hangup" -> new Balancer.ClientGone(in.text("op_id"));
-            case "flowing" -> new Balancer.StreamStarted(in.text("op_id"), in.small("go"));
+            case "deadline_hit" -> new Event.TimerFired(in.text("ctx"));
+            case "hangup" -> new Event.ClientGone(in.text("op_id"));
+            case "flowing" -> new Event.StreamStarted(in.text("op_id"), in.small("go"));
             case "probed" ->
-                new Balancer.ProbeEnded(in.text("backend"), word(in, "how", OUTCOMES), in.whole("cost_time_us"));
+                new Event.ProbeEnded(in.text("backend"), word(in, "how", OUTCOMES), in.whole("cost_time_us"));
             case "inbox" -> null;
             default -> throw new WireException("unknown event '" + name + "'");
         };
     }
 
-    static Balancer.ListKind listKind(Fields in) {
+    static ListKind listKind(Fields in) {
         return word(in, "form", LISTS);
     }
 
     /** Reads one {@code entry} line of a list. */
-    static Balancer.Backend backend(Fields in) {
+    static Backend backend(Fields in) {
         if (!in.name().equals("entry")) {
             throw new WireException("expected 'entry', found '" + in.name() + "'");
         }
-        return new Balancer.Backend(
+        return new Backend(
                 in.text("backend"),
                 word(in, "stage_state", STATES),
                 in.optional("machine"),
@@ -85,8 +92,8 @@
     }
 
     /** Appends the line of an action. */
-    static void write(StringBuilder out, int who, Balancer.Action action) {
-        if (action instanceof Balancer.Send a) {
+    static void write(StringBuilder out, int who, Action action) {
+        if (action instanceof Action.Send a) {
             head(out, "relay", who)
                     .append(" op_id=")
                     .append(a.id())
@@ -94,34 +101,34 @@
                     .append(a.backend())
                     .append(" max_wait_us=")
                     .append(a.timeoutUs());
-        } else if (action instanceof Balancer.SetTimer a) {
+        } else if (action instanceof Action.SetTimer a) {
             head(out, "arm", who)
                     .append(" fire_at_us=")
                     .append(a.atUs())
                     .append(" ctx=")
                     .append(a.token());
-        } else if (action instanceof Balancer.Refuse a) {
+        } else if (action instanceof Action.Refuse a) {
             head(out, "not_now", who).append(" op_id=").append(a.id());
             if (a.retryAfterUs() > 0) {
                 out.append(" not_before_for_us=").append(a.retryAfterUs());
             }
-        } else if (action instanceof Balancer.Fail a) {
+        } else if (action instanceof Action.Fail a) {
             head(out, "finish_error", who).append(" op_id=").append(a.id());
-        } else if (action instanceof Balancer.Cancel a) {
+        } else if (action instanceof Action.Cancel a) {
             head(out, "retract", who)
                     .append(" op_id=")
                     .append(a.id())
                     .append(" go=")
                     .append(a.attempt());
-        } else if (action instanceof Balancer.Release a) {
+        } else if (action instanceof Action.Release a) {
             head(out, "release", who).append(" backend=").append(a.backend());
-        } else if (action instanceof Balancer.Probe a) {
+        } else if (action instanceof Action.Probe a) {
             head(out, "sound_out", who).append(" backend=").append(a.backend());
-        } else if (action instanceof Balancer.Watch a) {
+        } else if (action instanceof Action.Watch a) {
             head(out, "observe", who).append(" enable=").append(a.on() ? 1 : 0);
-        } else if (action instanceof Balancer.Fetch) {
+        } else if (action instanceof Action.Fetch) {
             head(out, "pull", who);
-        } else if (action instanceof Balancer.Log a) {
+        } else if (action instanceof Action.Log a) {
             head(out, "print", who).append(" message=").append(oneLine(a.text()));
         } else {
             throw new IllegalStateException("no line for " + action);
--- a/src/main/java/beechfall/wire/Host.java
+++ b/src/main/java/beechfall/wire/Host.java
@@ -1,7 +1,12 @@
 package beechfall.wire;
 
+import beechfall.Action;
+import beechfall.Backend;
 import beechfall.Balancer;
+import beechfall.Event;
+import beechfall.ListKind;
 import beechfall.Policy;
+import beechfall.Settings;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStream;
@@ -18,7 +23,7 @@
 
 /** Reads batches of events, gives each to its instance, and writes the reply. Instances share nothing. */
 final class Host {
-    private final Function<Balancer.Settings, Balancer> factory;
+    private final Function<Settings, Balancer> factory;
     private final Map<Integer, Instance> instances = new HashMap<>();
     private final Fields fields = new Fields();
     private final StringBuilder reply = new StringBuilder(1 << 12);
@@ -29,7 +34,7 @@
         this(Policy::new);
     }
 
-    Host(Function<Balancer.Settings, Balancer> factory) {
+    Host(Function<Settings, Balancer> factory) {
         this.factory = factory;
     }
 
@@ -94,7 +99,7 @@
             instances.remove(who);
             return;
         }
-        Balancer.Event event = name.equals("update") ? members() : Codec.event(name, fields);
+        Event event = name.equals("update") ? members() : Codec.event(name, fields);
         if (event != null) {
             try {
                 instance.balancer.handle(now, event, instance);
@@ -105,7 +110,7 @@
     }
 
     private void up(int who) {
-        Balancer.Settings settings;
+        Settings settings;
         try {
             settings = Codec.settings(fields);
         } catch (IllegalArgumentException e) {
@@ -118,10 +123,10 @@
         }
     }
 
-    private Balancer.Members members() throws IOException {
-        Balancer.ListKind kind = Codec.listKind(fields);
+    private Event.Members members() throws IOException {
+        ListKind kind = Codec.listKind(fields);
         int count = fields.optional("nodes_list") == null ? 0 : fields.small("nodes_list");
-        List<Balancer.Backend> backends = new ArrayList<>(Math.min(count, 1024));
+        List<Backend> backends = new ArrayList<>(Math.min(count, 1024));
         for (int i = 0; i < count; i++) {
             fields.read(nextInBatch());
             try {
@@ -130,7 +135,7 @@
                 throw new WireException("entry: " + e.getMessage());
             }
         }
-        return new Balancer.Members(kind, backends);
+        return new Event.Members(kind, backends);
     }
 
     private void panic(int who, RuntimeException e) {
@@ -143,7 +148,7 @@
     }
 
     /** One proxy's module, writing its actions to the reply under its number. */
-    private final class Instance implements Consumer<Balancer.Action> {
+    private final class Instance implements Consumer<Action> {
         private final int who;
         private final Balancer balancer;
 
@@ -153,7 +158,7 @@
         }
 
         @Override
-        public void accept(Balancer.Action action) {
+        public void accept(Action action) {
             Codec.write(reply, who, action);
         }
     }
--- a/src/main/java/beechfall/wire/SettingsReader.java
+++ b/src/main/java/beechfall/wire/SettingsReader.java
@@ -1,6 +1,12 @@
 package beechfall.wire;
 
-import beechfall.Balancer;
+import beechfall.Effect;
+import beechfall.Limits;
+import beechfall.RequestClass;
+import beechfall.Rules;
+import beechfall.Scope;
+import beechfall.Settings;
+import beechfall.Tenant;
 import java.util.ArrayList;
 import java.util.Map;
 
@@ -10,14 +16,14 @@
  * and are told here once for both.
  */
 public final class SettingsReader {
-    private static final Map<String, Balancer.Effect> EFFECTS = Map.of(
-            "idempotent", Balancer.Effect.SAFE,
-            "deduplicated", Balancer.Effect.KEYED,
-            "at_most_once", Balancer.Effect.UNSAFE);
-    private static final Map<String, Balancer.Scope> SCOPES = Map.of(
-            "all", Balancer.Scope.ALL,
-            "zone", Balancer.Scope.ZONE,
-            "cell", Balancer.Scope.CELL);
+    private static final Map<String, Effect> EFFECTS = Map.of(
+            "idempotent", Effect.SAFE,
+            "deduplicated", Effect.KEYED,
+            "at_most_once", Effect.UNSAFE);
+    private static final Map<String, Scope> SCOPES = Map.of(
+            "all", Scope.ALL,
+            "zone", Scope.ZONE,
+            "cell", Scope.CELL);
     private static final Map<String, Boolean> MODES = Map.of("pushed", false, "on_request", true);
     private static final Map<String, Boolean> FLAGS = Map.of("true", true, "1", true, "false", false, "0", false);
 
@@ -34,7 +40,7 @@
      * @param seed the seed of the instance's random numbers
      * @throws IllegalArgumentException if a setting is missing or makes no sense; the message names it
      */
-    public static Balancer.Settings read(Map<String, String> values, long seed) {
+    public static Settings read(Map<String, String> values, long seed) {
         return new SettingsReader(values).settings(seed);
     }
 
@@ -47,29 +53,29 @@
         return new SettingsReader(values).whole(path);
     }
 
-    private Balancer.Settings settings(long seed) {
-        var classes = new ArrayList<Balancer.RequestClass>();
+    private Settings settings(long seed) {
+        var classes = new ArrayList<RequestClass>();
         for (int i = 0; i < whole("profiles.count"); i++) {
             String path = "profiles." + i + ".";
             var effect = word(path + "effect", EFFECTS);
-            boolean keyed = effect == Balancer.Effect.KEYED;
-            classes.add(new Balancer.RequestClass(
+            boolean keyed = effect == Effect.KEYED;
+            classes.add(new RequestClass(
                     text(path + "name"),
                     whole(path + "aim_us"),
                     whole(path + "deadline_us"),
                     number(path + "value"),
                     number(path + "late_worth"),
                     effect,
-                    keyed ? word(path + "key_scope", SCOPES) : Balancer.Scope.ALL,
+                    keyed ? word(path + "key_scope", SCOPES) : Scope.ALL,
                     keyed ? whole(path + "window_us") : 0));
         }
-        var tenants = new ArrayList<Balancer.Tenant>();
+        var tenants = new ArrayList<Tenant>();
         int tenantCount = has("projects.count") ? (int) whole("projects.count") : 0;
         for (int i = 0; i < tenantCount; i++) {
             String path = "projects." + i + ".";
-            tenants.add(new Balancer.Tenant(text(path + "name"), number(path + "allowance_per_s")));
+            tenants.add(new Tenant(text(path + "name"), number(path + "allowance_per_s")));
         }
-        var limits = new Balancer.Limits(
+        var limits = new Limits(
                 flag("bounds.cancel"),
                 flag("bounds.may_duplicate"),
                 flag("bounds.probes"),
@@ -77,14 +83,14 @@
                 (int) whole("bounds.most_tries"),
                 has("bounds.retry_after") && !flag("bounds.retry_after") ? 0 : whole("bounds.max_retry_after_us"),
                 whole("bounds.connect_timeout_us"));
-        var rules = new Balancer.Rules(
+        var rules = new Rules(
                 number("invariants.cold_from"),
                 whole("invariants.cold_us"),
                 number("invariants.fall_multiple"),
                 whole("invariants.fall_us"),
                 whole("invariants.must_ask_in_us"),
                 has("invariants.full_unproven") && flag("invariants.full_unproven"));
-        return new Balancer.Settings(
+        return new Settings(
                 (int) whole("balancers"),
                 (int) whole("rank"),
                 text("locality"),
--- a/src/test/java/beechfall/ChurnTest.java
+++ b/src/test/java/beechfall/ChurnTest.java
@@ -7,10 +7,7 @@
 import static beechfall.ModuleDriver.started;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Balancer.ListKind;
-import beechfall.Balancer.Members;
-import beechfall.Balancer.Outcome;
-import beechfall.Balancer.State;
+import beechfall.Event.Members;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/beechfall/ColdBackendFleetTest.java
+++ b/src/test/java/beechfall/ColdBackendFleetTest.java
@@ -6,18 +6,12 @@
 import static beechfall.ModuleDriver.S;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Balancer.Action;
-import beechfall.Balancer.Arrival;
-import beechfall.Balancer.AttemptEnded;
-import beechfall.Balancer.Backend;
-import beechfall.Balancer.ListKind;
-import beechfall.Balancer.Members;
-import beechfall.Balancer.Outcome;
-import beechfall.Balancer.Rules;
-import beechfall.Balancer.Send;
-import beechfall.Balancer.SetTimer;
-import beechfall.Balancer.Settings;
-import beechfall.Balancer.TimerFired;
+import beechfall.Action.Send;
+import beechfall.Action.SetTimer;
+import beechfall.Event.Arrival;
+import beechfall.Event.AttemptEnded;
+import beechfall.Event.Members;
+import beechfall.Event.TimerFired;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -141,7 +135,7 @@
         }
 
         private void changeList() {
-            tell(ListKind.DELTA, List.of(ModuleDriver.in(Balancer.State.GONE, "other" + now / S)));
+            tell(ListKind.DELTA, List.of(ModuleDriver.in(State.GONE, "other" + now / S)));
             at(now + S, this::changeList);
         }
 
@@ -156,7 +150,7 @@
             at(now + 1 + (long) (-meanUs * Math.log(1 - random.nextDouble())), this::arrive);
         }
 
-        private void handle(int rank, Balancer.Event event) {
+        private void handle(int rank, Event event) {
             var actions = new ArrayList<Action>();
             proxies.get(rank).handle(now, event, actions::add);
             for (Action action : actions) {
--- a/src/test/java/beechfall/CrowdTest.java
+++ b/src/test/java/beechfall/CrowdTest.java
@@ -8,11 +8,9 @@
 import static beechfall.ModuleDriver.backend;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Balancer.Fail;
-import beechfall.Balancer.Outcome;
-import beechfall.Balancer.Refuse;
-import beechfall.Balancer.Send;
-import beechfall.Balancer.Tenant;
+import beechfall.Action.Fail;
+import beechfall.Action.Refuse;
+import beechfall.Action.Send;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.IntStream;
@@ -67,8 +65,7 @@
     @Test
     void aRefusalTellsWhenThereMayBeRoom() {
         long most = 700 * MS;
-        var p = new ModuleDriver(
-                ModuleDriver.settings(new Balancer.Limits(true, false, false, false, 4, most, 0), RULES));
+        var p = new ModuleDriver(ModuleDriver.settings(new Limits(true, false, false, false, 4, most, 0), RULES));
         p.list(backend("a"));
         for (int i = 0; i < 20; i++) {
             p.arrive(READ);
@@ -125,7 +122,7 @@
     /** One answer in fifty never comes, whoever was to give it: what hangs must not take the room of all the others. */
     @Test
     void attemptsThatHangDoNotCrowdOutTheOthers() {
-        proxy.list(IntStream.range(0, 10).mapToObj(i -> backend("b" + i)).toArray(Balancer.Backend[]::new));
+        proxy.list(IntStream.range(0, 10).mapToObj(i -> backend("b" + i)).toArray(Backend[]::new));
         int refused = 0;
         for (int i = 0; i < 3000; i++) {
             proxy.now += 5 * MS;
@@ -143,8 +140,8 @@
     @ValueSource(booleans = {false, true})
     void aLoneProxyKeepsItsBackendsBusyWhenUnqueuedWorkFillsTheLimit(boolean listChangesEachSecond) {
         // One of three, the others gone. An answer takes 200 ms without a queue, more than a fifth of the shortest aim.
-        var p = new ModuleDriver(new Balancer.Settings(
-                3, 0, "a", MS, List.of(READ, ModuleDriver.PAY), List.of(), 1, false, LIMITS, RULES, 1));
+        var p = new ModuleDriver(
+                new Settings(3, 0, "a", MS, List.of(READ, ModuleDriver.PAY), List.of(), 1, false, LIMITS, RULES, 1));
         p.list(backend("a"), backend("b"), backend("c"));
         record Sent(String id, long at) {}
         var out = new java.util.ArrayDeque<Sent>();
@@ -153,8 +150,8 @@
         for (int step = 0; step < 3000; step++) {
             p.now += 20 * MS;
             if (listChangesEachSecond && step % 50 == 0) {
-                var gone = ModuleDriver.in(Balancer.State.GONE, "other" + step);
-                p.feed(new Balancer.Members(Balancer.ListKind.DELTA, List.of(gone)));
+                var gone = ModuleDriver.in(State.GONE, "other" + step);
+                p.feed(new Event.Members(ListKind.DELTA, List.of(gone)));
             }
             p.arrive(READ);
             for (; seen < p.actions.size(); seen++) {
@@ -174,9 +171,9 @@
     @Test
     void twelveProxiesTogetherHoldNoMoreThanOne() {
         var alone = new ModuleDriver();
-        var oneOfTwelve = new ModuleDriver(
-                new Balancer.Settings(12, 0, "a", MS, List.of(READ), List.of(), 1, false, LIMITS, RULES, 1));
-        var backends = new Balancer.Backend[24];
+        var oneOfTwelve =
+                new ModuleDriver(new Settings(12, 0, "a", MS, List.of(READ), List.of(), 1, false, LIMITS, RULES, 1));
+        var backends = new Backend[24];
         for (int i = 0; i < backends.length; i++) {
             backends[i] = backend("s" + i);
         }
@@ -185,14 +182,14 @@
 
     @Test
     void aBackendThatIsStuckGathersAttemptsOfAFewProxiesOnly() {
-        var backends = new Balancer.Backend[24];
+        var backends = new Backend[24];
         var gathered = new java.util.HashMap<String, Integer>();
         for (int i = 0; i < backends.length; i++) {
             backends[i] = backend("s" + i, "std", i % 2 == 0 ? "a" : "b", 1);
         }
         for (int rank = 0; rank < 12; rank++) {
             var p = new ModuleDriver(
-                    new Balancer.Settings(12, rank, "a", MS, List.of(READ), List.of(), 1, false, LIMITS, RULES, rank));
+                    new Settings(12, rank, "a", MS, List.of(READ), List.of(), 1, false, LIMITS, RULES, rank));
             p.list(backends);
             for (int i = 0; i < 6; i++) {
                 gathered.merge(p.lastSend(p.arrive(READ)).backend(), 1, Integer::sum);
@@ -212,9 +209,9 @@
         String held = proxy.arrive(READ);
         // Its aim is 600 ms away; an attempt may take 0.4 of the shortest aim, 400 ms.
         proxy.run(439 * MS);
-        assertThat(proxy.has(new Balancer.Refuse(held, 0))).isFalse();
+        assertThat(proxy.has(new Action.Refuse(held, 0))).isFalse();
         proxy.run(1 * MS);
-        assertThat(proxy.has(new Balancer.Refuse(held, 0))).isTrue();
+        assertThat(proxy.has(new Action.Refuse(held, 0))).isTrue();
     }
 
     @Test
@@ -222,15 +219,15 @@
         proxy.list(backend("a"));
         for (int i = 0; i < 4; i++) {
             String id = "first" + i;
-            proxy.feed(new Balancer.Arrival(id, "read", null, null, 1800 * MS, false));
+            proxy.feed(new Event.Arrival(id, "read", null, null, 1800 * MS, false));
         }
         assertThat(proxy.sends("first2")).isEqualTo(1);
         assertThat(proxy.sends("first3")).isZero();
         // 1.2 s of 2 s are left, so the client began 0.8 s ago; its aim was 0.6 s.
-        proxy.feed(new Balancer.Arrival("late", "read", null, null, 1200 * MS, true));
+        proxy.feed(new Event.Arrival("late", "read", null, null, 1200 * MS, true));
         // As much patience as first tries have: nothing is known of when it began.
-        proxy.feed(new Balancer.Arrival("again", "read", null, null, 1800 * MS, true));
-        assertThat(proxy.has(new Balancer.Refuse("late", 0))).isTrue();
+        proxy.feed(new Event.Arrival("again", "read", null, null, 1800 * MS, true));
+        assertThat(proxy.has(new Action.Refuse("late", 0))).isTrue();
         proxy.end("first0", Outcome.OK, MS);
         proxy.end("first1", Outcome.OK, MS);
         assertThat(proxy.sends("again")).isEqualTo(1);
@@ -239,20 +236,19 @@
         proxy.end("first2", Outcome.OK, MS);
         proxy.end("first3", Outcome.OK, MS);
         proxy.end("again", Outcome.OK, MS);
-        proxy.feed(new Balancer.Arrival("idle", "read", null, null, 1200 * MS, true));
+        proxy.feed(new Event.Arrival("idle", "read", null, null, 1200 * MS, true));
         assertThat(proxy.sends("idle")).isEqualTo(1);
     }
 
     @Test
     void roomGoesToARequestWhoseKeyIsAtHomeThere() {
-        var p = new ModuleDriver(
-                new Balancer.Settings(3, 0, "a", MS, List.of(READ), List.of(), 1, true, LIMITS, RULES, 1));
+        var p = new ModuleDriver(new Settings(3, 0, "a", MS, List.of(READ), List.of(), 1, true, LIMITS, RULES, 1));
         p.list(backend("a"), backend("b"), backend("c"), backend("d"), backend("e"), backend("f"));
         String[] key = new String[60];
         var home = new java.util.HashMap<String, String>();
         for (int i = 0; i < key.length; i++) {
             key[i] = "key" + i;
-            p.feed(new Balancer.Arrival("probe" + i, "read", null, key[i], 2 * ModuleDriver.S, false));
+            p.feed(new Event.Arrival("probe" + i, "read", null, key[i], 2 * ModuleDriver.S, false));
             home.put(key[i], p.lastSend("probe" + i).backend());
             p.end("probe" + i, Outcome.OK, MS);
         }
@@ -270,9 +266,9 @@
                 .filter(k -> home.get(k).equals(freed))
                 .findFirst()
                 .orElseThrow();
-        p.feed(new Balancer.Arrival("other", "read", null, other, 2 * ModuleDriver.S, false));
+        p.feed(new Event.Arrival("other", "read", null, other, 2 * ModuleDriver.S, false));
         p.now += MS;
-        p.feed(new Balancer.Arrival("fits", "read", null, fits, 2 * ModuleDriver.S, false));
+        p.feed(new Event.Arrival("fits", "read", null, fits, 2 * ModuleDriver.S, false));
         assertThat(p.sends("other") + p.sends("fits")).isZero();
         p.end(out.get(0), Outcome.OK, MS);
         assertThat(p.sends("fits")).isEqualTo(1);
@@ -280,13 +276,12 @@
     }
 
     /** One of 400 proxies at 60 backends: its part of what all may have out is 3 x 60 / 400, under half an attempt. */
-    private static ModuleDriver oneOfHundreds(int rank, Balancer.RequestClass... classes) {
+    private static ModuleDriver oneOfHundreds(int rank, RequestClass... classes) {
         var all = classes.length == 0 ? List.of(READ) : List.of(classes);
-        var p = new ModuleDriver(
-                new Balancer.Settings(400, rank, "a", MS, all, List.of(), 1, false, LIMITS, RULES, rank));
+        var p = new ModuleDriver(new Settings(400, rank, "a", MS, all, List.of(), 1, false, LIMITS, RULES, rank));
         p.list(java.util.stream.IntStream.range(0, 60)
                 .mapToObj(i -> backend("s" + i))
-                .toArray(Balancer.Backend[]::new));
+                .toArray(Backend[]::new));
         p.run(5 * ModuleDriver.S);
         return p;
     }
@@ -355,7 +350,7 @@
                 p.run(170 * MS);
             }
             long from = p.now;
-            p.feed(new Balancer.Members(Balancer.ListKind.DELTA, List.of(ModuleDriver.started("new", from))));
+            p.feed(new Event.Members(ListKind.DELTA, List.of(ModuleDriver.started("new", from))));
             for (int i = 0; i < 25; i++) {
                 got += p.serve(READ, 30 * MS).equals("new") ? 1 : 0;
                 p.run(170 * MS);
@@ -417,8 +412,8 @@
         p.arrive(READ);
         String held = p.arrive(READ);
         String tooMany = p.arrive(READ);
-        assertThat(p.has(new Balancer.Refuse(tooMany, 0))).isTrue();
-        assertThat(p.has(new Balancer.Refuse(held, 0))).isFalse();
+        assertThat(p.has(new Action.Refuse(tooMany, 0))).isTrue();
+        assertThat(p.has(new Action.Refuse(held, 0))).isFalse();
     }
 
     @Test
@@ -463,7 +458,7 @@
                 .isEqualTo(slow);
     }
 
-    private static long burst(ModuleDriver p, Balancer.Backend... backends) {
+    private static long burst(ModuleDriver p, Backend... backends) {
         p.list(backends);
         for (int i = 0; i < 100; i++) {
             p.arrive(READ);
--- a/src/test/java/beechfall/PickTest.java
+++ b/src/test/java/beechfall/PickTest.java
@@ -7,9 +7,6 @@
 import static beechfall.ModuleDriver.backend;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Balancer.Backend;
-import beechfall.Balancer.Outcome;
-import beechfall.Balancer.State;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -192,18 +189,18 @@
         var backends = new Backend[] {backend("a"), backend("b"), backend("c"), backend("d")};
         var homes = new HashMap<String, String>();
         for (long seed = 1; seed <= 3; seed++) {
-            var p = new ModuleDriver(new Balancer.Settings(
+            var p = new ModuleDriver(new Settings(
                     3, 0, "a", MS, List.of(READ), List.of(), 1, true, ModuleDriver.LIMITS, ModuleDriver.RULES, seed));
             p.list(backends);
             for (int i = 0; i < 40; i++) {
                 String key = "key" + i;
-                p.feed(new Balancer.Arrival("k" + i, "read", null, key, 2 * S, false));
+                p.feed(new Event.Arrival("k" + i, "read", null, key, 2 * S, false));
                 String to = p.lastSend("k" + i).backend();
                 assertThat(homes.putIfAbsent(key, to)).isIn(null, to);
                 if (i % 4 != 0) {
                     p.end("k" + i, Outcome.OK, MS);
                 } else {
-                    p.feed(new Balancer.Arrival("again" + i, "read", null, key, 2 * S, false));
+                    p.feed(new Event.Arrival("again" + i, "read", null, key, 2 * S, false));
                     assertThat(p.lastSend("again" + i).backend()).isNotEqualTo(to);
                     p.end("again" + i, Outcome.OK, MS);
                     p.end("k" + i, Outcome.OK, MS);
--- a/src/test/java/beechfall/RulesTest.java
+++ b/src/test/java/beechfall/RulesTest.java
@@ -12,22 +12,16 @@
 import static beechfall.ModuleDriver.backend;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Balancer.Action;
-import beechfall.Balancer.Cancel;
-import beechfall.Balancer.ClientGone;
-import beechfall.Balancer.Fail;
-import beechfall.Balancer.Limits;
-import beechfall.Balancer.ListKind;
-import beechfall.Balancer.Members;
-import beechfall.Balancer.Outcome;
-import beechfall.Balancer.Refuse;
-import beechfall.Balancer.Release;
-import beechfall.Balancer.Rules;
-import beechfall.Balancer.Send;
-import beechfall.Balancer.SetTimer;
-import beechfall.Balancer.State;
-import beechfall.Balancer.StreamStarted;
-import beechfall.Balancer.Watch;
+import beechfall.Action.Cancel;
+import beechfall.Action.Fail;
+import beechfall.Action.Refuse;
+import beechfall.Action.Release;
+import beechfall.Action.Send;
+import beechfall.Action.SetTimer;
+import beechfall.Action.Watch;
+import beechfall.Event.ClientGone;
+import beechfall.Event.Members;
+import beechfall.Event.StreamStarted;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Nested;
@@ -97,11 +91,10 @@
         void eventsForWhatIsNotHeldArePassedOver() {
             proxy.list(backend("a"));
             assertThat(proxy.feed(new ClientGone("nobody"))).isEmpty();
-            assertThat(proxy.feed(new Balancer.AttemptEnded("nobody", 0, "a", Outcome.OK, MS, true)))
+            assertThat(proxy.feed(new Event.AttemptEnded("nobody", 0, "a", Outcome.OK, MS, true)))
                     .isEmpty();
             assertThat(proxy.feed(new StreamStarted("nobody", 0))).isEmpty();
-            assertThat(proxy.feed(new Balancer.ProbeEnded("gone", Outcome.OK, MS)))
-                    .isEmpty();
+            assertThat(proxy.feed(new Event.ProbeEnded("gone", Outcome.OK, MS))).isEmpty();
         }
 
         @Test
@@ -109,7 +102,7 @@
             proxy.list(backend("a"), backend("b"));
             String id = proxy.arrive(READ);
             proxy.feed(new StreamStarted(id, 0));
-            assertThat(proxy.feed(new Balancer.AttemptEnded(id, 0, "a", Outcome.RESET, 3 * S, true)))
+            assertThat(proxy.feed(new Event.AttemptEnded(id, 0, "a", Outcome.RESET, 3 * S, true)))
                     .isEmpty();
         }
     }
@@ -173,10 +166,9 @@
 
         @Test
         void aKeyedRequestIsNotSentAgainPastItsWindow() {
-            var shortWindow = new Balancer.RequestClass(
-                    "pay", 600 * MS, 2 * S, 10, 0, Balancer.Effect.KEYED, Balancer.Scope.ZONE, 100 * MS);
+            var shortWindow = new RequestClass("pay", 600 * MS, 2 * S, 10, 0, Effect.KEYED, Scope.ZONE, 100 * MS);
             var p = new ModuleDriver(
-                    new Balancer.Settings(1, 0, "a", MS, List.of(shortWindow), List.of(), 1, false, LIMITS, RULES, 1));
+                    new Settings(1, 0, "a", MS, List.of(shortWindow), List.of(), 1, false, LIMITS, RULES, 1));
             p.list(backend("a"), backend("b"));
             String id = p.arrive(shortWindow);
             p.now += 100 * MS;
@@ -188,9 +180,8 @@
         @Test
         void aKeyedRequestIsNotSentAgainWhereItMayBeginPastItsWindow() {
             long connectUs = 200 * MS;
-            var shortWindow = new Balancer.RequestClass(
-                    "pay", 600 * MS, 2 * S, 10, 0, Balancer.Effect.KEYED, Balancer.Scope.ZONE, 400 * MS);
-            var p = new ModuleDriver(new Balancer.Settings(
+            var shortWindow = new RequestClass("pay", 600 * MS, 2 * S, 10, 0, Effect.KEYED, Scope.ZONE, 400 * MS);
+            var p = new ModuleDriver(new Settings(
                     1,
                     0,
                     "a",
@@ -445,7 +436,7 @@
         @Test
         void proxiesDoNotAskAgainInStep() {
             var p = new ModuleDriver(ModuleDriver.settings(new Limits(true, false, false, true, 4, 0, 0), RULES));
-            var q = new ModuleDriver(new Balancer.Settings(
+            var q = new ModuleDriver(new Settings(
                     1,
                     0,
                     "a",
@@ -507,9 +498,8 @@
 
         @Test
         void oneOfManyProxiesMayStillSendItWhatItsLikeBear() {
-            var p = new ModuleDriver(
-                    new Balancer.Settings(9, 3, "a", MS, List.of(READ), List.of(), 1, false, LIMITS, RULES, 1));
-            var backends = new Balancer.Backend[4];
+            var p = new ModuleDriver(new Settings(9, 3, "a", MS, List.of(READ), List.of(), 1, false, LIMITS, RULES, 1));
+            var backends = new Backend[4];
             for (int i = 0; i < 4; i++) {
                 backends[i] = backend("s" + i);
             }
--- a/src/test/java/beechfall/proxy/BackendsTest.java
+++ b/src/test/java/beechfall/proxy/BackendsTest.java
@@ -2,11 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Balancer.Arrival;
-import beechfall.Balancer.AttemptEnded;
-import beechfall.Balancer.Outcome;
-import beechfall.Balancer.Release;
-import beechfall.Balancer.Send;
+import beechfall.Action.Release;
+import beechfall.Action.Send;
+import beechfall.Event.Arrival;
+import beechfall.Event.AttemptEnded;
+import beechfall.Outcome;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/beechfall/proxy/ConfigTest.java
+++ b/src/test/java/beechfall/proxy/ConfigTest.java
@@ -3,7 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import beechfall.Balancer;
+import beechfall.Effect;
+import beechfall.RequestClass;
+import beechfall.Tenant;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -20,9 +22,9 @@
         assertThat(config.settings().seed()).isEqualTo(0x92094eb940cf389aL);
         assertThat(config.settings().limits().listMustBeAsked()).isTrue();
         assertThat(config.settings().classes())
-                .extracting(Balancer.RequestClass::effect)
-                .containsExactly(Balancer.Effect.SAFE, Balancer.Effect.KEYED, Balancer.Effect.UNSAFE);
-        assertThat(config.settings().tenants()).containsExactly(new Balancer.Tenant("acme", 100));
+                .extracting(RequestClass::effect)
+                .containsExactly(Effect.SAFE, Effect.KEYED, Effect.UNSAFE);
+        assertThat(config.settings().tenants()).containsExactly(new Tenant("acme", 100));
         assertThat(config.connIdleUs()).isEqualTo(15_000_000);
         assertThat(config.known().path("version").asLong()).isEqualTo(41);
     }
--- a/src/test/java/beechfall/proxy/CrossingTest.java
+++ b/src/test/java/beechfall/proxy/CrossingTest.java
@@ -2,12 +2,12 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Balancer.Arrival;
-import beechfall.Balancer.AttemptEnded;
-import beechfall.Balancer.ListKind;
-import beechfall.Balancer.Members;
-import beechfall.Balancer.Outcome;
-import beechfall.Balancer.Send;
+import beechfall.Action.Send;
+import beechfall.Event.Arrival;
+import beechfall.Event.AttemptEnded;
+import beechfall.Event.Members;
+import beechfall.ListKind;
+import beechfall.Outcome;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/beechfall/proxy/DescriptorReserveTest.java
+++ b/src/test/java/beechfall/proxy/DescriptorReserveTest.java
@@ -2,10 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Balancer.Arrival;
-import beechfall.Balancer.AttemptEnded;
-import beechfall.Balancer.Outcome;
-import beechfall.Balancer.Refuse;
+import beechfall.Action.Refuse;
+import beechfall.Event.Arrival;
+import beechfall.Event.AttemptEnded;
+import beechfall.Outcome;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/beechfall/proxy/DiscoveryTest.java
+++ b/src/test/java/beechfall/proxy/DiscoveryTest.java
@@ -2,16 +2,16 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Balancer.Arrival;
-import beechfall.Balancer.Backend;
-import beechfall.Balancer.Event;
-import beechfall.Balancer.Fetch;
-import beechfall.Balancer.ListKind;
-import beechfall.Balancer.Members;
-import beechfall.Balancer.Refuse;
-import beechfall.Balancer.SetTimer;
-import beechfall.Balancer.State;
-import beechfall.Balancer.Watch;
+import beechfall.Action.Fetch;
+import beechfall.Action.Refuse;
+import beechfall.Action.SetTimer;
+import beechfall.Action.Watch;
+import beechfall.Backend;
+import beechfall.Event;
+import beechfall.Event.Arrival;
+import beechfall.Event.Members;
+import beechfall.ListKind;
+import beechfall.State;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
@@ -399,7 +399,7 @@
 
     @Test
     void fetchesTheWholeListOnce() throws Exception {
-        try (var proxy = new Fixture((Event event, java.util.function.Consumer<beechfall.Balancer.Action> actions) -> {
+        try (var proxy = new Fixture((Event event, java.util.function.Consumer<beechfall.Action> actions) -> {
             if (event instanceof Members m && m.kind() == ListKind.CACHED) {
                 actions.accept(new Fetch());
             }
--- a/src/test/java/beechfall/proxy/Fixture.java
+++ b/src/test/java/beechfall/proxy/Fixture.java
@@ -1,9 +1,10 @@
 package beechfall.proxy;
 
+import beechfall.Action;
 import beechfall.Balancer;
-import beechfall.Balancer.Action;
-import beechfall.Balancer.Event;
+import beechfall.Event;
 import beechfall.Policy;
+import beechfall.Settings;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.ByteArrayInputStream;
@@ -40,7 +41,7 @@
             """;
 
     final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
-    final BlockingQueue<Balancer.Send> sends = new LinkedBlockingQueue<>();
+    final BlockingQueue<Action.Send> sends = new LinkedBlockingQueue<>();
     final Peer discovery = new Peer();
     private final Serve serve;
     final InetSocketAddress address;
@@ -83,7 +84,7 @@
     }
 
     private Fixture(
-            Function<Balancer.Settings, Balancer> factory,
+            Function<Settings, Balancer> factory,
             int sockets,
             long idleUs,
             UnaryOperator<String> edit,
@@ -98,7 +99,7 @@
         serve = new Serve(config, (now, event, actions) -> {
             events.add(event);
             module.handle(now, event, action -> {
-                if (action instanceof Balancer.Send send) {
+                if (action instanceof Action.Send send) {
                     sends.add(send);
                 }
                 actions.accept(action);
@@ -146,10 +147,10 @@
 
     static Module sendTo(String backend, long timeoutUs) {
         return (event, actions) -> {
-            if (event instanceof Balancer.Arrival a) {
-                actions.accept(new Balancer.Send(a.id(), backend, timeoutUs));
-            } else if (event instanceof Balancer.AttemptEnded e && !e.last()) {
-                actions.accept(new Balancer.Fail(e.id()));
+            if (event instanceof Event.Arrival a) {
+                actions.accept(new Action.Send(a.id(), backend, timeoutUs));
+            } else if (event instanceof Event.AttemptEnded e && !e.last()) {
+                actions.accept(new Action.Fail(e.id()));
             }
         };
     }
@@ -160,7 +161,7 @@
         return (event, actions) -> {
             if (!asked[0]) {
                 asked[0] = true;
-                actions.accept(new Balancer.Watch(true));
+                actions.accept(new Action.Watch(true));
             }
             sendTo(backend).handle(event, actions);
         };
--- a/src/test/java/beechfall/proxy/FrontendTest.java
+++ b/src/test/java/beechfall/proxy/FrontendTest.java
@@ -2,10 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Balancer.Arrival;
-import beechfall.Balancer.ClientGone;
-import beechfall.Balancer.Fail;
-import beechfall.Balancer.Refuse;
+import beechfall.Action.Fail;
+import beechfall.Action.Refuse;
+import beechfall.Event.Arrival;
+import beechfall.Event.ClientGone;
 import java.io.IOException;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
--- a/src/test/java/beechfall/proxy/LeavingTest.java
+++ b/src/test/java/beechfall/proxy/LeavingTest.java
@@ -2,11 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Balancer.Arrival;
-import beechfall.Balancer.AttemptEnded;
-import beechfall.Balancer.ClientGone;
-import beechfall.Balancer.Outcome;
-import beechfall.Balancer.Send;
+import beechfall.Action.Send;
+import beechfall.Event.Arrival;
+import beechfall.Event.AttemptEnded;
+import beechfall.Event.ClientGone;
+import beechfall.Outcome;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/beechfall/proxy/ProxyTest.java
+++ b/src/test/java/beechfall/proxy/ProxyTest.java
@@ -2,14 +2,14 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Balancer.Arrival;
-import beechfall.Balancer.AttemptEnded;
-import beechfall.Balancer.Cancel;
-import beechfall.Balancer.ClientGone;
-import beechfall.Balancer.Outcome;
-import beechfall.Balancer.Send;
-import beechfall.Balancer.SetTimer;
-import beechfall.Balancer.TimerFired;
+import beechfall.Action.Cancel;
+import beechfall.Action.Send;
+import beechfall.Action.SetTimer;
+import beechfall.Event.Arrival;
+import beechfall.Event.AttemptEnded;
+import beechfall.Event.ClientGone;
+import beechfall.Event.TimerFired;
+import beechfall.Outcome;
 import org.junit.jupiter.api.Test;
 
 /** What the proxy does round the module, whatever the module does. */
--- a/src/test/java/beechfall/proxy/ServeTest.java
+++ b/src/test/java/beechfall/proxy/ServeTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Balancer.Arrival;
-import beechfall.Balancer.AttemptEnded;
-import beechfall.Balancer.Refuse;
+import beechfall.Action.Refuse;
+import beechfall.Event.Arrival;
+import beechfall.Event.AttemptEnded;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/beechfall/wire/HostTest.java
+++ b/src/test/java/beechfall/wire/HostTest.java
@@ -2,7 +2,19 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Balancer;
+import beechfall.Action;
+import beechfall.Backend;
+import beechfall.Effect;
+import beechfall.Event;
+import beechfall.Limits;
+import beechfall.ListKind;
+import beechfall.Outcome;
+import beechfall.RequestClass;
+import beechfall.Rules;
+import beechfall.Scope;
+import beechfall.Settings;
+import beechfall.State;
+import beechfall.Tenant;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -33,16 +45,16 @@
 
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream errors = new ByteArrayOutputStream();
-    private final List<Balancer.Settings> settings = new ArrayList<>();
-    private final List<Balancer.Event> events = new ArrayList<>();
-    private final List<Balancer.Action> actions = new ArrayList<>();
+    private final List<Settings> settings = new ArrayList<>();
+    private final List<Event> events = new ArrayList<>();
+    private final List<Action> actions = new ArrayList<>();
 
     private int run(String input) throws IOException {
         return new Host(s -> {
                     settings.add(s);
                     return (now, event, sink) -> {
                         events.add(event);
-                        if (event instanceof Balancer.TimerFired t && t.token().equals("boom")) {
+                        if (event instanceof Event.TimerFired t && t.token().equals("boom")) {
                             throw new IllegalStateException("out\nof order");
                         }
                         actions.forEach(sink);
@@ -76,18 +88,17 @@
     void readsSettings() throws IOException {
         assertThat(run(batch(UP))).isZero();
         assertThat(settings)
-                .containsExactly(new Balancer.Settings(
+                .containsExactly(new Settings(
                         3,
                         2,
                         "skoyen",
                         4000,
-                        List.of(new Balancer.RequestClass(
-                                "pay", 400000, 2000000, 10, 0, Balancer.Effect.KEYED, Balancer.Scope.ZONE, 1200000)),
-                        List.of(new Balancer.Tenant("vest", 277)),
+                        List.of(new RequestClass("pay", 400000, 2000000, 10, 0, Effect.KEYED, Scope.ZONE, 1200000)),
+                        List.of(new Tenant("vest", 277)),
                         0.05,
                         true,
-                        new Balancer.Limits(true, false, false, true, 4, 2000000, 150000),
-                        new Balancer.Rules(0.4, 8100000, 4, 1000000, 10000000, true),
+                        new Limits(true, false, false, true, 4, 2000000, 150000),
+                        new Rules(0.4, 8100000, 4, 1000000, 10000000, true),
                         5192));
     }
 
@@ -113,32 +124,31 @@
                 .isZero();
         assertThat(events)
                 .containsExactly(
-                        new Balancer.Members(
-                                Balancer.ListKind.CACHED,
-                                List.of(new Balancer.Backend(
-                                        "10.1.1.1:80", Balancer.State.READY, "std-1", "ulven", 2, 7, 1.5))),
-                        new Balancer.Arrival("t/1", "pay", "vest", "user:k", 240000, true),
-                        new Balancer.AttemptEnded("t/1", 0, "10.1.1.1:80", Balancer.Outcome.FULL, 18500, false),
-                        new Balancer.StreamStarted("t/1", 1),
-                        new Balancer.ClientGone("t/1"),
-                        new Balancer.ProbeEnded("10.1.1.1:80", Balancer.Outcome.OK, 14),
-                        new Balancer.TimerFired("x"));
+                        new Event.Members(
+                                ListKind.CACHED,
+                                List.of(new Backend("10.1.1.1:80", State.READY, "std-1", "ulven", 2, 7, 1.5))),
+                        new Event.Arrival("t/1", "pay", "vest", "user:k", 240000, true),
+                        new Event.AttemptEnded("t/1", 0, "10.1.1.1:80", Outcome.FULL, 18500, false),
+                        new Event.StreamStarted("t/1", 1),
+                        new Event.ClientGone("t/1"),
+                        new Event.ProbeEnded("10.1.1.1:80", Outcome.OK, 14),
+                        new Event.TimerFired("x"));
     }
 
     @Test
     void writesEveryAction() throws IOException {
         actions.addAll(List.of(
-                new Balancer.Send("t/1", "b:1", 80),
-                new Balancer.SetTimer(90, "q"),
-                new Balancer.Refuse("t/1", 0),
-                new Balancer.Refuse("t/2", 5),
-                new Balancer.Fail("t/3"),
-                new Balancer.Cancel("t/1", 2),
-                new Balancer.Probe("b:1"),
-                new Balancer.Watch(true),
-                new Balancer.Fetch(),
-                new Balancer.Release("b:1"),
-                new Balancer.Log("two\nlines")));
+                new Action.Send("t/1", "b:1", 80),
+                new Action.SetTimer(90, "q"),
+                new Action.Refuse("t/1", 0),
+                new Action.Refuse("t/2", 5),
+                new Action.Fail("t/3"),
+                new Action.Cancel("t/1", 2),
+                new Action.Probe("b:1"),
+                new Action.Watch(true),
+                new Action.Fetch(),
+                new Action.Release("b:1"),
+                new Action.Log("two\nlines")));
         assertThat(run(batch(UP, "deadline_hit who=3 ctx=x\n"))).isZero();
         assertThat(written()).isEqualTo("""
                 relay who=3 op_id=t/1 backend=b:1 max_wait_us=80
