--- a/src/main/java/beechfall/Policy.java
+++ b/src/main/java/beechfall/EarliestDeadlineLoadBalancer.java
@@ -1,16 +1,16 @@
 package beechfall;
 
-import beechfall.Action.Cancel;
+import beechfall.Action.CancelAttempt;
+import beechfall.Action.CloseIdleConnections;
 import beechfall.Action.Fail;
-import beechfall.Action.Refuse;
-import beechfall.Action.Release;
-import beechfall.Action.Send;
+import beechfall.Action.Reject;
 import beechfall.Action.SetTimer;
-import beechfall.Action.Watch;
-import beechfall.Event.Arrival;
+import beechfall.Action.StartAttempt;
+import beechfall.Action.WatchEndpoints;
 import beechfall.Event.AttemptEnded;
-import beechfall.Event.ClientGone;
-import beechfall.Event.Members;
+import beechfall.Event.ClientDisconnected;
+import beechfall.Event.EndpointUpdate;
+import beechfall.Event.RequestArrived;
 import beechfall.Event.TimerFired;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -30,7 +30,7 @@
  * <p>A request goes to the eligible backend with the earliest deadline (currentTime + 1) / weight, with
  * weight = c / sum of c and c = 1 / response time of the backend's kind, as this proxy has seen it.
  */
-public final class Policy implements Balancer {
+public final class EarliestDeadlineLoadBalancer implements LoadBalancer {
     /** Answers that a kind's mean response time remembers: its weight drifts slowly. */
     private static final int KIND_MEMORY = 1024;
     /** A kind's mean counts as so many of a backend's own answers, of which a refresh keeps a part. */
@@ -75,8 +75,8 @@
 
     private static final double ERROR_MEMORY = 256;
 
-    private final Settings settings;
-    private final Rules rules;
+    private final BalancerSettings settings;
+    private final SafetyLimits rules;
     private final Random random;
     private final Map<String, RequestClass> classes = new HashMap<>();
     private final Map<String, Quota> quotas = new HashMap<>();
@@ -91,7 +91,7 @@
     private long refreshAt = Long.MIN_VALUE;
     private double retryTokens = RETRY_BURST;
     private long askAt = Long.MIN_VALUE;
-    private final AskBackoff askBackoff;
+    private final DiscoveryBackoff askBackoff;
     private int outstanding;
     private final Set<Attempt> inOrder = new LinkedHashSet<>();
     /** How long an answer may take at the limit, in microseconds. */
@@ -121,15 +121,17 @@
     private Consumer<Action> out;
 
     /** Starts an instance that knows nothing but its settings. */
-    public Policy(Settings settings) {
+    public EarliestDeadlineLoadBalancer(BalancerSettings settings) {
         this.settings = settings;
-        this.rules = settings.rules();
+        this.rules = settings.safetyLimits();
         this.random = new Random(settings.seed());
-        this.askBackoff = new AskBackoff(random, rules.askWithinUs());
-        settings.classes().forEach(c -> classes.put(c.name(), c));
+        this.askBackoff = new DiscoveryBackoff(random, rules.pollIntervalUs());
+        settings.requestClasses().forEach(c -> classes.put(c.name(), c));
         settings.tenants().forEach(t -> quotas.put(t.name(), new Quota(t, settings, quotas.size())));
         this.flowsOfClass = 1 + quotas.size();
-        var aims = settings.classes().stream().mapToLong(RequestClass::aimUs).summaryStatistics();
+        var aims = settings.requestClasses().stream()
+                .mapToLong(RequestClass::latencyObjectiveUs)
+                .summaryStatistics();
         this.latencyBudgetUs = (long) (LATENCY_BUDGET_SHARE * aims.getMin());
         this.refreshUs = 2 * aims.getMax();
     }
@@ -152,9 +154,9 @@
         private double left;
         private long at;
 
-        Quota(Tenant tenant, Settings settings, int number) {
+        Quota(Tenant tenant, BalancerSettings settings, int number) {
             this.number = number;
-            this.perUs = tenant.quotaPerS() / 1e6 / settings.balancers();
+            this.perUs = tenant.quotaPerSecond() / 1e6 / settings.proxyCount();
         }
     }
 
@@ -249,7 +251,7 @@
     /** A backend that this proxy may send to. */
     private static final class Server {
         private final String id;
-        private Backend listed;
+        private Endpoint listed;
         private Kind kind;
         private double weight;
         private double zonePreference;
@@ -291,7 +293,8 @@
             this.key = key;
             this.worth = worth;
             this.deadline = deadline;
-            this.aimAt = type.lateWorth() > 0 ? deadline : Math.min(deadline, began + type.aimUs());
+            this.aimAt =
+                    type.lateWeightFraction() > 0 ? deadline : Math.min(deadline, began + type.latencyObjectiveUs());
         }
 
         boolean outranks(Request other) {
@@ -302,10 +305,10 @@
     /** One attempt: {@code outcome} is null while it is out. */
     private static final class Attempt {
         private final Server server;
-        private final Backend sentTo;
+        private final Endpoint sentTo;
         private final long sentAt;
         private final long timeoutUs;
-        private Outcome outcome;
+        private AttemptOutcome outcome;
 
         Attempt(Server server, long sentAt, long timeoutUs) {
             this.server = server;
@@ -328,16 +331,16 @@
             measureAt = now + refreshUs;
             ask();
         }
-        if (event instanceof Arrival e) {
+        if (event instanceof RequestArrived e) {
             arrival(e);
         } else if (event instanceof AttemptEnded e) {
             attemptEnded(e);
         } else if (event instanceof TimerFired e && e.token().equals("ask") && now >= askAt) {
             ask();
-        } else if (event instanceof Members e) {
+        } else if (event instanceof EndpointUpdate e) {
             members(e);
-        } else if (event instanceof ClientGone e && requests.containsKey(e.id())) {
-            close(requests.get(e.id()));
+        } else if (event instanceof ClientDisconnected e && requests.containsKey(e.requestId())) {
+            close(requests.get(e.requestId()));
         }
         release();
     }
@@ -349,24 +352,24 @@
 
     // Membership
 
-    private void members(Members news) {
-        if (news.kind() == ListKind.FAILED) {
-            long delayUs = askBackoff.failed(now);
+    private void members(EndpointUpdate news) {
+        if (news.kind() == UpdateKind.POLL_FAILED) {
+            long delayUs = askBackoff.nextDelayUs(now);
             // A further failure never puts off a call that is due sooner.
             if (now + delayUs < askAt) {
                 askIn(delayUs);
             }
             return;
         }
-        if (news.kind() != ListKind.CACHED) {
+        if (news.kind() != UpdateKind.CACHED) {
             askAt = Long.MAX_VALUE;
         }
         List<Server> before = List.copyOf(servers);
-        if (news.kind() != ListKind.DELTA) {
+        if (news.kind() != UpdateKind.DELTA) {
             servers.forEach(s -> s.ready = false);
             servers.clear();
         }
-        for (Backend b : news.backends()) {
+        for (Endpoint b : news.endpoints()) {
             Server s = byId.get(b.id());
             if (s == null || b.startedAtUs() != s.listed.startedAtUs()) {
                 // What was seen of the process that ran under this id before tells nothing of the new one.
@@ -380,33 +383,33 @@
             s.listed = b;
             s.zonePreference = settings.zone().equals(b.zone()) ? OWN_ZONE_PREFERENCE : 1;
             s.kind = kinds.computeIfAbsent(String.valueOf(b.kind()), name -> new Kind());
-            s.ready = b.state() == State.READY;
+            s.ready = b.state() == EndpointState.READY;
             servers.remove(s);
             if (s.ready) {
                 servers.add(s);
             }
-            if (b.state() == State.GONE) {
+            if (b.state() == EndpointState.GONE) {
                 byId.remove(s.id);
             }
         }
         before.forEach(this::releaseUnlessReady);
-        if (news.kind() != ListKind.DELTA) {
+        if (news.kind() != UpdateKind.DELTA) {
             byId.values().retainAll(servers);
         }
         refresh();
     }
 
     /** Returns where in its first request to a cold backend this proxy starts: evenly over the ranks, from 0 to 1. */
-    private double coldPhase(Backend b) {
+    private double coldPhase(Endpoint b) {
         double start = mix(b.id().hashCode() ^ Long.hashCode(b.startedAtUs())) / (double) (1L << Integer.SIZE);
-        double phase = start + settings.rank() * GOLDEN_FRACTION;
+        double phase = start + settings.proxyIndex() * GOLDEN_FRACTION;
         return phase - Math.floor(phase);
     }
 
     /** Rule 6: no idle connection is kept to a backend that drains or is gone: nobody has a use for it. */
     private void releaseUnlessReady(Server s) {
         if (!s.ready) {
-            out.accept(new Release(s.id));
+            out.accept(new CloseIdleConnections(s.id));
         }
     }
 
@@ -415,11 +418,11 @@
      * stand evenly along the list, by weight, as many in another order: no two stand and fall back alike.
      */
     private void order() {
-        int rounds = Math.max(1, settings.balancers() / Math.max(1, servers.size()));
-        int shuffle = mix(settings.rank() % rounds);
+        int rounds = Math.max(1, settings.proxyCount() / Math.max(1, servers.size()));
+        int shuffle = mix(settings.proxyIndex() % rounds);
         servers.sort(Comparator.comparing((Server s) -> mix(s.id.hashCode() ^ shuffle)));
-        int place = settings.rank() / rounds;
-        double at = place * (double) rounds / settings.balancers();
+        int place = settings.proxyIndex() / rounds;
+        double at = place * (double) rounds / settings.proxyCount();
         int first = 0;
         while (first < servers.size() - 1 && at > servers.get(first).weight - 1e-9) {
             at -= servers.get(first++).weight;
@@ -441,10 +444,11 @@
     /** Returns the part of its capacity that a backend is sure to have: 1 once it is warm. */
     private double warmUpFraction(Server s) {
         long started = s.listed.startedAtUs();
-        if (started <= 0 || now - started >= rules.coldUs()) {
+        if (started <= 0 || now - started >= rules.slowStartUs()) {
             return 1;
         }
-        return rules.coldFrom() + (1 - rules.coldFrom()) * Math.max(0, now - started) / rules.coldUs();
+        return rules.initialCapacity()
+                + (1 - rules.initialCapacity()) * Math.max(0, now - started) / rules.slowStartUs();
     }
 
     // Weights
@@ -503,7 +507,7 @@
 
     // Pick
 
-    private void arrival(Arrival a) {
+    private void arrival(RequestArrived a) {
         RequestClass type = classes.get(a.requestClass());
         if (type == null) {
             throw new IllegalArgumentException("request of a class not in the settings: " + a.requestClass());
@@ -515,14 +519,14 @@
         retryTokens = Math.min(RETRY_BURST, retryTokens + RETRY_RATE);
         Quota quota = quotas.get(a.tenant());
         int tenant = quota == null ? quotas.size() : quota.number;
-        int flow = settings.classes().indexOf(type) * flowsOfClass + tenant;
-        double worth = overShare(quota, a.repeat()) ? settings.overShareWorth() : 1;
+        int flow = settings.requestClasses().indexOf(type) * flowsOfClass + tenant;
+        double worth = overShare(quota, a.retry()) ? settings.overQuotaWeightFraction() : 1;
         // A repeat that is left less than first tries get began so long ago: past its aim, it ranks as late.
-        long least = leastLeft.merge(type.name(), a.repeat() ? Long.MAX_VALUE : a.leftUs(), Math::min);
-        long began = a.leftUs() < least ? now + a.leftUs() - type.deadlineUs() : now;
-        worth *= type.worth() * (now < began + type.aimUs() ? 1 : type.lateWorth());
-        String key = settings.warmKeys() ? a.key() : null;
-        var r = new Request(a.id(), type, flow, key, worth, began, now + a.leftUs());
+        long least = leastLeft.merge(type.name(), a.retry() ? Long.MAX_VALUE : a.timeoutUs(), Math::min);
+        long began = a.timeoutUs() < least ? now + a.timeoutUs() - type.deadlineUs() : now;
+        worth *= type.priorityWeight() * (now < began + type.latencyObjectiveUs() ? 1 : type.lateWeightFraction());
+        String key = settings.cacheAffinity() ? a.key() : null;
+        var r = new Request(a.requestId(), type, flow, key, worth, began, now + a.timeoutUs());
         requests.put(r.id, r);
         hold(r);
     }
@@ -533,8 +537,8 @@
         int balance = 0;
         int standing = 0;
         // Far busier than others, a proxy takes a larger part: a backend for each attempt out in the mean.
-        double left =
-                Math.max(PROXIES_PER_BACKEND * servers.size() / settings.balancers(), answerRate() * unloadedLatencyUs);
+        double left = Math.max(
+                PROXIES_PER_BACKEND * servers.size() / settings.proxyCount(), answerRate() * unloadedLatencyUs);
         for (Server s : servers) {
             if (!effectAllows(s, r)) {
                 continue;
@@ -555,7 +559,7 @@
                 earliest = deadline;
             }
             boolean sound = s.kind.samples == 0 || responseUs(s) < 4 * s.kind.meanUs;
-            left -= settings.balancers() > PROXIES_PER_BACKEND && trust && sound && warmUpFraction(s) >= 1 ? 1 : 0;
+            left -= settings.proxyCount() > PROXIES_PER_BACKEND && trust && sound && warmUpFraction(s) >= 1 ? 1 : 0;
         }
         // If nearly all look ill, it is this proxy that is cut off, or the load: then all are tried on. But where some
         // answer late and the others fail, those that fail are left alone.
@@ -586,20 +590,23 @@
     /** Rule 2: a request that may have run goes only where its class lets it run again, and in time to begin there. */
     private boolean effectAllows(Server s, Request r) {
         return r.attempts.isEmpty()
-                || r.type.effect() == Effect.SAFE
+                || r.type.idempotency() == Idempotency.IDEMPOTENT
                 || r.attempts.stream()
                         .allMatch(a -> !mayHaveRun(a)
-                                || (r.type.effect() == Effect.KEYED
-                                        && now + settings.limits().connectTimeoutUs() < a.sentAt + r.type.windowUs()
-                                        && sameGroup(r.type.scope(), a.sentTo, s.listed)));
+                                || (r.type.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                                        && now + settings.limits().connectTimeoutUs()
+                                                < a.sentAt + r.type.deduplicationWindowUs()
+                                        && sameGroup(r.type.deduplicationScope(), a.sentTo, s.listed)));
     }
 
     /** Rule 5: where 'full' is no proof, it counts as any other failure, for sends and refusals alike. */
     private boolean mayHaveRun(Attempt a) {
-        return a.outcome == null || !a.outcome.neverRan() || (a.outcome == Outcome.FULL && rules.fullUnproven());
+        return a.outcome == null
+                || !a.outcome.provesNotExecuted()
+                || (a.outcome == AttemptOutcome.REJECTED && rules.rejectedMayHaveExecuted());
     }
 
-    private static boolean sameGroup(Scope scope, Backend a, Backend b) {
+    private static boolean sameGroup(DeduplicationScope scope, Endpoint a, Endpoint b) {
         return switch (scope) {
             case ALL -> true;
             case ZONE -> String.valueOf(a.zone()).equals(b.zone());
@@ -616,12 +623,13 @@
         if (warmUpFraction >= 1) {
             return Double.POSITIVE_INFINITY;
         }
-        double requestUs =
-                s.kind.samples > 0 ? s.kind.meanUs : settings.classes().get(0).aimUs();
+        double requestUs = s.kind.samples > 0
+                ? s.kind.meanUs
+                : settings.requestClasses().get(0).latencyObjectiveUs();
         double capacityPerUs =
-                Math.max(1 / (requestUs * settings.balancers()), backendThroughputPerUs * s.weight * servers.size());
-        double budgetPerUs = COLD_MARGIN * rules.fallMultiple() * warmUpFraction * capacityPerUs;
-        return s.coldAllowance.available(budgetPerUs, rules.fallUs(), now);
+                Math.max(1 / (requestUs * settings.proxyCount()), backendThroughputPerUs * s.weight * servers.size());
+        double budgetPerUs = COLD_MARGIN * rules.overloadMultiple() * warmUpFraction * capacityPerUs;
+        return s.coldAllowance.available(budgetPerUs, rules.overloadWindowUs(), now);
     }
 
     /**
@@ -631,10 +639,10 @@
     private double admissionLimit() {
         double byRate = answerRate() * Math.max(latencyBudgetUs, LATENCY_HEADROOM * unloadedLatencyUs);
         // With less than a backend to itself, a proxy tells overload from chance by how much it refuses.
-        double share = servers.size() / (double) settings.balancers();
+        double share = servers.size() / (double) settings.proxyCount();
         double cores = Math.min(
                 MIN_ATTEMPTS_PER_BACKEND,
-                Math.max(1, backendThroughputPerUs * settings.balancers() * unloadedLatencyUs));
+                Math.max(1, backendThroughputPerUs * settings.proxyCount() * unloadedLatencyUs));
         return Math.max(byRate, share * (MIN_ATTEMPTS_PER_BACKEND + (share < 1 ? cores * (1 - refused) - refused : 0)));
     }
 
@@ -678,38 +686,42 @@
         var a = new Attempt(s, now, Math.min(r.deadline - now, cutUs));
         r.attempts.add(a);
         inOrder.add(a);
-        out.accept(new Send(r.id, s.id, a.timeoutUs));
+        out.accept(new StartAttempt(r.id, s.id, a.timeoutUs));
     }
 
     // Attempt outcome
 
     private void attemptEnded(AttemptEnded e) {
-        Request r = requests.get(e.id());
+        Request r = requests.get(e.requestId());
         if (r == null || e.attempt() >= r.attempts.size() || r.attempts.get(e.attempt()).outcome != null) {
             return;
         }
         Attempt a = r.attempts.get(e.attempt());
         a.outcome = e.outcome();
-        boolean heard = e.outcome() != Outcome.TIMEOUT && e.outcome() != Outcome.CANCELLED;
+        boolean heard = e.outcome() != AttemptOutcome.TIMEOUT && e.outcome() != AttemptOutcome.CANCELLED;
         a.server.health.ended(now, heard);
         a.server.flowHealth[r.flow].ended(now, heard);
         outstanding--;
         inOrder.remove(a);
         r.out--;
         releaseUnlessReady(a.server);
-        boolean ok = e.outcome() == Outcome.OK;
+        boolean ok = e.outcome() == AttemptOutcome.SUCCESS;
         // What cannot be reached fails for all; any other failure tells of the flow alone.
-        if (e.outcome() != Outcome.CANCELLED && e.outcome() != Outcome.NOT_SENT) {
-            boolean lost = e.outcome() == Outcome.CONNECT_FAILED;
-            boolean error = lost || e.outcome() == Outcome.ERROR || e.outcome() == Outcome.RESET;
+        if (e.outcome() != AttemptOutcome.CANCELLED && e.outcome() != AttemptOutcome.NOT_SENT) {
+            boolean lost = e.outcome() == AttemptOutcome.CONNECT_FAILED;
+            boolean error = lost || e.outcome() == AttemptOutcome.ERROR || e.outcome() == AttemptOutcome.RESET;
             errorShare += ((error ? 1 : 0) - errorShare) / ERROR_MEMORY;
             boolean common = errorShare > COMMON;
-            timeoutShare += ((e.outcome() == Outcome.TIMEOUT ? 1 : 0) - timeoutShare) / ERROR_MEMORY;
+            timeoutShare += ((e.outcome() == AttemptOutcome.TIMEOUT ? 1 : 0) - timeoutShare) / ERROR_MEMORY;
             boolean lostByLuck = a.server.health.isIsolatedError(lost) && common;
             boolean luck = a.server.flowHealth[r.flow].isIsolatedError(error) && common;
             a.server.health.record(!lost || lostByLuck, now, refreshUs);
             a.server.flowHealth[r.flow].record(ok || luck, now, refreshUs);
-            learn(a.server, ok ? e.latencyUs() : e.outcome() == Outcome.ERROR ? r.type.aimUs() : a.timeoutUs);
+            learn(
+                    a.server,
+                    ok
+                            ? e.latencyUs()
+                            : e.outcome() == AttemptOutcome.ERROR ? r.type.latencyObjectiveUs() : a.timeoutUs);
         }
         if (ok) {
             all.learn(e.latencyUs());
@@ -717,7 +729,7 @@
             answersAt = now;
             refused -= refused / 16;
         }
-        if (r.over || e.last()) {
+        if (r.over || e.requestEnded()) {
             close(r);
         } else if (r.out == 0) {
             retry(r);
@@ -726,10 +738,10 @@
 
     /** Forgets a request that is over once none of its attempts is out, and calls off those that are. */
     private void close(Request r) {
-        if (!r.over && settings.limits().cancel()) {
+        if (!r.over && settings.limits().cancellation()) {
             for (int i = 0; i < r.attempts.size(); i++) {
                 if (r.attempts.get(i).outcome == null) {
-                    out.accept(new Cancel(r.id, i));
+                    out.accept(new CancelAttempt(r.id, i));
                 }
             }
         }
@@ -774,9 +786,12 @@
     /** Queues a request, to be sent in this round if there is room: highest worth, then earliest aim. */
     private void hold(Request r) {
         // Sent at the last moment, it is to be answered in time: twice the latency budget ahead.
-        r.giveUpAt = Math.min(r.aimAt - 2 * latencyBudgetUs, r.deadline - 2 * settings.tickUs());
-        r.cheaperShare =
-                1.0 * classes.values().stream().filter(c -> c.worth() < r.worth).count() / classes.size();
+        r.giveUpAt = Math.min(r.aimAt - 2 * latencyBudgetUs, r.deadline - 2 * settings.minEventIntervalUs());
+        r.cheaperShare = 1.0
+                * classes.values().stream()
+                        .filter(c -> c.priorityWeight() < r.worth)
+                        .count()
+                / classes.size();
         r.warmServer = r.key == null ? null : warmServer(r.key);
         int i = held.size();
         while (i > 0 && r.outranks(held.get(i - 1))) {
@@ -831,10 +846,11 @@
     /** Gives the final answer: a refusal where a repeat is harmless, else a failure. */
     private void finish(Request r) {
         refused += (1 - refused) / 16;
-        boolean harmless = r.type.effect() == Effect.SAFE
-                || (r.type.effect() == Effect.KEYED && r.type.scope() == Scope.ALL)
+        boolean harmless = r.type.idempotency() == Idempotency.IDEMPOTENT
+                || (r.type.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                        && r.type.deduplicationScope() == DeduplicationScope.ALL)
                 || r.attempts.stream().noneMatch(this::mayHaveRun);
-        out.accept(harmless ? new Refuse(r.id, comeBackUs(r)) : new Fail(r.id));
+        out.accept(harmless ? new Reject(r.id, comeBackUs(r)) : new Fail(r.id));
         close(r);
     }
 
@@ -849,9 +865,9 @@
     // Timers
 
     private void ask() {
-        if (settings.limits().listMustBeAsked()) {
-            out.accept(new Watch(true));
-            askIn(rules.askWithinUs());
+        if (settings.limits().endpointsArePolled()) {
+            out.accept(new WatchEndpoints(true));
+            askIn(rules.pollIntervalUs());
         } else {
             askAt = Long.MAX_VALUE;
         }
--- a/src/main/java/beechfall/State.java
+++ b/src/main/java/beechfall/EndpointState.java
@@ -1,7 +1,7 @@
 package beechfall;
 
 /** What the server list says of a backend. */
-public enum State {
+public enum EndpointState {
     READY,
     DRAINING,
     GONE
--- a/src/main/java/beechfall/Balancer.java
+++ b/src/main/java/beechfall/LoadBalancer.java
@@ -9,7 +9,7 @@
  * the proxy's time in microseconds, which never goes back. Equal settings, seed and events give equal actions. The
  * proxy carries the actions out in the order given. All durations are in microseconds.
  */
-public interface Balancer {
+public interface LoadBalancer {
     /**
      * Takes one event and hands out what the proxy is to do about it.
      *
--- a/src/main/java/beechfall/ListKind.java
+++ b/src/main/java/beechfall/UpdateKind.java
@@ -1,9 +1,9 @@
 package beechfall;
 
 /** What a list update holds: changes, a full list, the list as it was before a restart, or a failed call. */
-public enum ListKind {
+public enum UpdateKind {
     DELTA,
-    FULL,
+    SNAPSHOT,
     CACHED,
-    FAILED
+    POLL_FAILED
 }
--- a/src/main/java/beechfall/proxy/Backends.java
+++ b/src/main/java/beechfall/proxy/Backends.java
@@ -1,9 +1,9 @@
 package beechfall.proxy;
 
-import beechfall.Backend;
-import beechfall.ListKind;
-import beechfall.Outcome;
-import beechfall.State;
+import beechfall.AttemptOutcome;
+import beechfall.Endpoint;
+import beechfall.EndpointState;
+import beechfall.UpdateKind;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -64,11 +64,11 @@
     record Answer(HttpHeaders headers, ByteBuf body) {}
 
     /** A line of the list, and where this proxy finds that backend. */
-    record Listed(Backend backend, InetSocketAddress address) {}
+    record Listed(Endpoint backend, InetSocketAddress address) {}
 
-    /** Hears the one end of an attempt; {@code answer} is there for {@link Outcome#OK} alone. */
+    /** Hears the one end of an attempt; {@code answer} is there for {@link AttemptOutcome#SUCCESS} alone. */
     interface End {
-        void ended(Outcome outcome, long latencyUs, Answer answer);
+        void ended(AttemptOutcome outcome, long latencyUs, Answer answer);
     }
 
     private final Clock clock;
@@ -101,7 +101,7 @@
      *
      * @return the attempts that are to be stopped, as no byte of theirs has gone to a backend that wants nothing new
      */
-    List<Attempt> update(ListKind kind, List<Listed> listed) {
+    List<Attempt> update(UpdateKind kind, List<Listed> listed) {
         var unsent = new ArrayList<Attempt>();
         var named = new HashSet<String>();
         for (Listed l : listed) {
@@ -116,9 +116,9 @@
                 target = new Target(l.address());
                 targets.put(l.backend().id(), target);
             }
-            target.ready = l.backend().state() == State.READY;
+            target.ready = l.backend().state() == EndpointState.READY;
         }
-        if (kind != ListKind.DELTA) {
+        if (kind != UpdateKind.DELTA) {
             targets.forEach((id, t) -> t.ready &= named.contains(id));
         }
         targets.values().removeIf(t -> {
@@ -302,7 +302,9 @@
             target.out.add(this);
             // Before its last byte is written it has not run for certain; after that it may, even if nothing comes.
             timer = loop.schedule(
-                    () -> abort(written ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED), timeoutUs, TimeUnit.MICROSECONDS);
+                    () -> abort(written ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED),
+                    timeoutUs,
+                    TimeUnit.MICROSECONDS);
             Promise<Channel> promise = loop.newPromise();
             connecting = target.pool.acquireOrConnect(promise);
             promise.addListener((Future<Channel> f) -> connected(f));
@@ -319,7 +321,7 @@
                 beforeWrite.run();
             }
             if (!f.isSuccess()) {
-                end(Outcome.CONNECT_FAILED, null);
+                end(AttemptOutcome.CONNECT_FAILED, null);
             } else if (ended) {
                 f.getNow().close();
             } else {
@@ -328,7 +330,7 @@
                     write();
                 } catch (RuntimeException e) {
                     // A request that can't be written down has gone nowhere; nobody else must suffer for it.
-                    abort(Outcome.NOT_SENT);
+                    abort(AttemptOutcome.NOT_SENT);
                 }
             }
         }
@@ -348,13 +350,13 @@
             channel.writeAndFlush(request).addListener(f -> {
                 written = f.isSuccess();
                 if (!written) {
-                    abort(Outcome.CONNECT_FAILED);
+                    abort(AttemptOutcome.CONNECT_FAILED);
                 }
             });
         }
 
         /** Ends the attempt from this side. Its connection is closed first: no other attempt goes out beside it. */
-        void abort(Outcome outcome) {
+        void abort(AttemptOutcome outcome) {
             if (ended) {
                 return;
             }
@@ -367,14 +369,14 @@
             report(outcome, null);
         }
 
-        private void end(Outcome outcome, Answer answer) {
+        private void end(AttemptOutcome outcome, Answer answer) {
             if (!ended) {
                 ended = true;
                 report(outcome, answer);
             }
         }
 
-        private void report(Outcome outcome, Answer answer) {
+        private void report(AttemptOutcome outcome, Answer answer) {
             timer.cancel(false);
             target.out.remove(this);
             end.ended(outcome, clock.now() - startedAt, answer);
@@ -459,9 +461,11 @@
             } else {
                 channel.close();
             }
-            Outcome outcome = outcome(response, sound);
-            a.end(outcome, outcome == Outcome.OK ? new Answer(response.headers(), response.content()) : null);
-            if (outcome != Outcome.OK) {
+            AttemptOutcome outcome = outcome(response, sound);
+            a.end(
+                    outcome,
+                    outcome == AttemptOutcome.SUCCESS ? new Answer(response.headers(), response.content()) : null);
+            if (outcome != AttemptOutcome.SUCCESS) {
                 response.release();
             }
         }
@@ -497,18 +501,18 @@
             attempt = null;
             channel.close();
             if (a != null) {
-                a.end(Outcome.ERROR, null);
+                a.end(AttemptOutcome.ERROR, null);
             }
         }
 
-        private Outcome outcome(FullHttpResponse response, boolean sound) {
+        private AttemptOutcome outcome(FullHttpResponse response, boolean sound) {
             int status = response.status().code();
             if (sound && status == 200) {
-                return Outcome.OK;
+                return AttemptOutcome.SUCCESS;
             }
             boolean turnedAway = (status == 503 || status == 504)
                     && "1".equals(response.headers().get(Headers.NOT_PROCESSED));
-            return sound && turnedAway ? Outcome.FULL : Outcome.ERROR;
+            return sound && turnedAway ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR;
         }
 
         @Override
@@ -532,7 +536,7 @@
                     // One that this side has given up tells nothing of what lies behind the connection.
                     idleLimit.learn(idledUs, decoder.bytes() == 0);
                 }
-                a.end(a.written ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
+                a.end(a.written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED, null);
             }
         }
 
--- a/src/main/java/beechfall/proxy/ClientExchange.java
+++ b/src/main/java/beechfall/proxy/ClientExchange.java
@@ -1,6 +1,6 @@
 package beechfall.proxy;
 
-import beechfall.Effect;
+import beechfall.Idempotency;
 import io.netty.channel.ChannelFuture;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
 import io.netty.handler.codec.http.FullHttpRequest;
@@ -78,15 +78,15 @@
         }
         HttpHeaders headers = request.headers();
         String requestClass = header(headers, Headers.REQUEST_CLASS);
-        Effect effect = frontend.effects.get(requestClass);
+        Idempotency effect = frontend.effects.get(requestClass);
         if (effect == null) {
             throw new Rejected(HttpResponseStatus.BAD_REQUEST, "unknown " + Headers.REQUEST_CLASS);
         }
-        HttpMethod wanted = effect == Effect.SAFE ? HttpMethod.GET : HttpMethod.POST;
+        HttpMethod wanted = effect == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
         if (!request.method().equals(wanted)) {
             throw new Rejected(HttpResponseStatus.METHOD_NOT_ALLOWED, "this class is asked for with " + wanted);
         }
-        if (effect == Effect.KEYED) {
+        if (effect == Idempotency.IDEMPOTENT_WITH_KEY) {
             header(headers, Headers.IDEMPOTENCY_KEY);
         }
         String tenant = null;
--- a/src/main/java/beechfall/proxy/Config.java
+++ b/src/main/java/beechfall/proxy/Config.java
@@ -1,6 +1,6 @@
 package beechfall.proxy;
 
-import beechfall.Settings;
+import beechfall.BalancerSettings;
 import beechfall.wire.SettingsReader;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -27,7 +27,7 @@
         InetSocketAddress discovery,
         int sockets,
         JsonNode known,
-        Settings settings,
+        BalancerSettings settings,
         long connIdleUs,
         long connectTimeoutUs) {
 
--- a/src/main/java/beechfall/proxy/Discovery.java
+++ b/src/main/java/beechfall/proxy/Discovery.java
@@ -1,8 +1,8 @@
 package beechfall.proxy;
 
-import beechfall.AskBackoff;
-import beechfall.ListKind;
-import beechfall.Settings;
+import beechfall.BalancerSettings;
+import beechfall.DiscoveryBackoff;
+import beechfall.UpdateKind;
 import com.fasterxml.jackson.databind.JsonNode;
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
@@ -22,7 +22,7 @@
      * Time beyond its wait after which a call to a service has failed, in milliseconds. What it has to tell counts as told
      * 2 s after the wait (protocol page), and binds 1 s later: a call that is made anew may fail once within that.
      */
-    private static final long SERVICE_TIMEOUT_MS = TimeUnit.MICROSECONDS.toMillis(AskBackoff.CALL_TIMEOUT_US);
+    private static final long SERVICE_TIMEOUT_MS = TimeUnit.MICROSECONDS.toMillis(DiscoveryBackoff.CALL_TIMEOUT_US);
     /**
      * The same for an agent, which answers at once (protocol page). What it hears after a silence of its own counts as
      * told right then (standing page) and binds 1 s later: two calls that fail, and the delays after them, take that long.
@@ -62,7 +62,7 @@
 
     private long version = EndpointList.NO_VERSION;
 
-    Discovery(Transport transport, Log log, Proxy proxy, InetSocketAddress address, Settings settings) {
+    Discovery(Transport transport, Log log, Proxy proxy, InetSocketAddress address, BalancerSettings settings) {
         this.loop = transport.loop();
         this.firstCallEnded = loop.newPromise();
         this.transport = transport;
@@ -70,14 +70,14 @@
         this.proxy = proxy;
         this.address = address;
         this.random = new SplittableRandom(settings.seed());
-        this.pushed = !settings.limits().listMustBeAsked();
+        this.pushed = !settings.limits().endpointsArePolled();
         this.firstTimeoutMs = pushed ? FIRST_AGENT_TIMEOUT_MS : FIRST_SERVICE_TIMEOUT_MS;
         this.timeoutMs = pushed ? AGENT_TIMEOUT_MS : SERVICE_TIMEOUT_MS;
         // A call whose other end has vanished looks like one that waits: until its answer is overdue no news comes.
         // Never more than twice the time within which a proxy has to ask.
-        long share = pushed ? MIN_HOLD_MS : Math.max(MIN_HOLD_MS, HOLD_PER_PROXY_MS * settings.balancers());
-        this.holdMs =
-                Math.min(Math.min(MAX_HOLD_MS, share), 2 * settings.rules().askWithinUs() / 1_000);
+        long share = pushed ? MIN_HOLD_MS : Math.max(MIN_HOLD_MS, HOLD_PER_PROXY_MS * settings.proxyCount());
+        this.holdMs = Math.min(
+                Math.min(MAX_HOLD_MS, share), 2 * settings.safetyLimits().pollIntervalUs() / 1_000);
     }
 
     /** Ends when a first call has: until then the list is as old as the last life of this proxy. */
@@ -94,7 +94,7 @@
     void known(JsonNode list) {
         EndpointList cached = EndpointList.cached(list, log);
         version = cached.version();
-        proxy.members(ListKind.CACHED, cached.endpoints());
+        proxy.members(UpdateKind.CACHED, cached.endpoints());
         if (pushed) {
             watch(true);
         }
@@ -172,7 +172,7 @@
             // One that answers at once without any news would be asked as fast as the CPU allows.
             loop.schedule(() -> continueWatch(answered), NO_NEWS_DELAY_MS, TimeUnit.MILLISECONDS);
         }
-        proxy.members(list.full() ? ListKind.FULL : ListKind.DELTA, list.endpoints());
+        proxy.members(list.full() ? UpdateKind.SNAPSHOT : UpdateKind.DELTA, list.endpoints());
         firstCallEnded.trySuccess(null);
     }
 
@@ -192,7 +192,7 @@
         if (pushed) {
             loop.schedule(this::retryAgent, AGENT_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         } else {
-            proxy.members(ListKind.FAILED, List.of());
+            proxy.members(UpdateKind.POLL_FAILED, List.of());
         }
     }
 
--- a/src/main/java/beechfall/proxy/EndpointList.java
+++ b/src/main/java/beechfall/proxy/EndpointList.java
@@ -1,7 +1,7 @@
 package beechfall.proxy;
 
-import beechfall.Backend;
-import beechfall.State;
+import beechfall.Endpoint;
+import beechfall.EndpointState;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
 import java.io.InputStream;
@@ -24,10 +24,10 @@
     private static final int LOGGED_CHARACTERS = 200;
     private static final double DEFAULT_WEIGHT = 1;
     private static final long MICROS_PER_MILLI = 1_000;
-    private static final Map<String, State> STATES = Map.of(
-            "ready", State.READY,
-            "draining", State.DRAINING,
-            "gone", State.GONE);
+    private static final Map<String, EndpointState> STATES = Map.of(
+            "ready", EndpointState.READY,
+            "draining", EndpointState.DRAINING,
+            "gone", EndpointState.GONE);
 
     /** A document that is no list; the message says why. */
     static final class MalformedListException extends Exception {
@@ -85,7 +85,7 @@
     }
 
     private static Backends.Listed endpoint(JsonNode entry) {
-        State state = STATES.get(entry.path("state").asText());
+        EndpointState state = STATES.get(entry.path("state").asText());
         InetSocketAddress address = Config.address(entry.path("addr").asText());
         String id = entry.path("id").asText();
         double weight = entry.path("weight").asDouble(DEFAULT_WEIGHT);
@@ -93,7 +93,7 @@
             return null;
         }
         return new Backends.Listed(
-                new Backend(
+                new Endpoint(
                         id,
                         state,
                         entry.path("kind").asText(null),
--- a/src/main/java/beechfall/proxy/Frontend.java
+++ b/src/main/java/beechfall/proxy/Frontend.java
@@ -1,7 +1,7 @@
 package beechfall.proxy;
 
-import beechfall.Effect;
-import beechfall.Settings;
+import beechfall.BalancerSettings;
+import beechfall.Idempotency;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelInitializer;
@@ -26,7 +26,7 @@
     final Proxy proxy;
     final ConnectionLimiter limiter;
     final BooleanSupplier ready;
-    final Map<String, Effect> effects = new HashMap<>();
+    final Map<String, Idempotency> effects = new HashMap<>();
     final Set<String> tenants = new HashSet<>();
     /** The connections on which something may still be asked, answered or read by the client. */
     final Set<ClientConnection> connections = new HashSet<>();
@@ -39,13 +39,19 @@
     private long beatAt;
     long heldUpFrom = Long.MAX_VALUE;
 
-    Frontend(Clock clock, Log log, Proxy proxy, ConnectionLimiter limiter, Settings settings, BooleanSupplier ready) {
+    Frontend(
+            Clock clock,
+            Log log,
+            Proxy proxy,
+            ConnectionLimiter limiter,
+            BalancerSettings settings,
+            BooleanSupplier ready) {
         this.clock = clock;
         this.log = log;
         this.proxy = proxy;
         this.limiter = limiter;
         this.ready = ready;
-        settings.classes().forEach(c -> effects.put(c.name(), c.effect()));
+        settings.requestClasses().forEach(c -> effects.put(c.name(), c.idempotency()));
         settings.tenants().forEach(t -> tenants.add(t.name()));
     }
 
--- a/src/main/java/beechfall/proxy/GracefulShutdown.java
+++ b/src/main/java/beechfall/proxy/GracefulShutdown.java
@@ -59,7 +59,7 @@
     }
 
     private long longestDeadlineMs() {
-        long longestUs = config.settings().classes().stream()
+        long longestUs = config.settings().requestClasses().stream()
                 .mapToLong(RequestClass::deadlineUs)
                 .max()
                 .orElse(0);
--- a/src/main/java/beechfall/proxy/Proxy.java
+++ b/src/main/java/beechfall/proxy/Proxy.java
@@ -1,12 +1,12 @@
 package beechfall.proxy;
 
 import beechfall.Action;
-import beechfall.Balancer;
+import beechfall.AttemptOutcome;
+import beechfall.BalancerSettings;
 import beechfall.Event;
 import beechfall.Limits;
-import beechfall.ListKind;
-import beechfall.Outcome;
-import beechfall.Settings;
+import beechfall.LoadBalancer;
+import beechfall.UpdateKind;
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
 import java.util.ArrayDeque;
@@ -75,7 +75,7 @@
     private final EventLoop loop;
     private final Log log;
     private final Limits limits;
-    private final Balancer module;
+    private final LoadBalancer module;
     private final Backends backends;
     private final Map<String, Request> requests = new HashMap<>();
     private final Queue<Event> events = new ArrayDeque<>();
@@ -84,7 +84,7 @@
     private boolean handling;
     private boolean ending;
 
-    Proxy(Clock clock, EventLoop loop, Log log, Settings settings, Balancer module, Backends backends) {
+    Proxy(Clock clock, EventLoop loop, Log log, BalancerSettings settings, LoadBalancer module, Backends backends) {
         this.clock = clock;
         this.loop = loop;
         this.log = log;
@@ -121,7 +121,7 @@
         var r = new Request(incoming, reply);
         requests.put(incoming.id(), r);
         r.safety = loop.schedule(() -> overdue(r), incoming.deadlineUs() + SAFETY_US - now, TimeUnit.MICROSECONDS);
-        deliver(new Event.Arrival(
+        deliver(new Event.RequestArrived(
                 incoming.id(),
                 incoming.requestClass(),
                 incoming.tenant(),
@@ -141,11 +141,11 @@
 
     /** Nothing more is owed to a client. What has not gone out whole need not, even where the module may cancel nothing. */
     private void left(Request r) {
-        deliver(new Event.ClientGone(r.incoming.id()));
+        deliver(new Event.ClientDisconnected(r.incoming.id()));
         // A copy, as an end may bring the next attempt; not List.copyOf, which takes no null.
         new ArrayList<>(r.attempts).forEach(a -> {
             if (a != null && !a.written()) {
-                a.abort(Outcome.NOT_SENT);
+                a.abort(AttemptOutcome.NOT_SENT);
             }
         });
         forget(r);
@@ -165,18 +165,19 @@
         List.copyOf(requests.values()).forEach(this::overdue);
     }
 
-    /** Discovery's news, or {@link ListKind#FAILED} where a call has brought none. */
-    void members(ListKind kind, List<Backends.Listed> listed) {
-        List<Backends.Attempt> unsent = kind == ListKind.FAILED ? List.of() : backends.update(kind, listed);
-        deliver(new Event.Members(
+    /** Discovery's news, or {@link UpdateKind#POLL_FAILED} where a call has brought none. */
+    void members(UpdateKind kind, List<Backends.Listed> listed) {
+        List<Backends.Attempt> unsent = kind == UpdateKind.POLL_FAILED ? List.of() : backends.update(kind, listed);
+        deliver(new Event.EndpointUpdate(
                 kind, listed.stream().map(Backends.Listed::backend).toList()));
         // The module has heard why by now, and sends them elsewhere.
-        unsent.forEach(a -> a.abort(Outcome.NOT_SENT));
+        unsent.forEach(a -> a.abort(AttemptOutcome.NOT_SENT));
     }
 
-    private void ended(Request r, int number, String backend, Outcome outcome, long latencyUs, Backends.Answer answer) {
+    private void ended(
+            Request r, int number, String backend, AttemptOutcome outcome, long latencyUs, Backends.Answer answer) {
         r.out--;
-        if (outcome == Outcome.OK && !r.over) {
+        if (outcome == AttemptOutcome.SUCCESS && !r.over) {
             answer(r, reply -> reply.served(answer));
         } else if (answer != null) {
             answer.body().release();
@@ -242,7 +243,9 @@
 
     /** An error costs the request that it came with, not the proxy and all the others that it holds. */
     private void failRequestOf(Event event) {
-        String id = event instanceof Event.Arrival a ? a.id() : event instanceof Event.AttemptEnded a ? a.id() : null;
+        String id = event instanceof Event.RequestArrived a
+                ? a.requestId()
+                : event instanceof Event.AttemptEnded a ? a.requestId() : null;
         if (id != null) {
             finish(id, Reply::failed);
         }
@@ -251,31 +254,31 @@
     // Actions
 
     private void carryOut(Action action) {
-        if (action instanceof Action.Send a) {
+        if (action instanceof Action.StartAttempt a) {
             send(a);
         } else if (action instanceof Action.SetTimer a) {
             loop.schedule(
                     () -> deliver(new Event.TimerFired(a.token())),
                     Math.max(0, a.atUs() - clock.now()),
                     TimeUnit.MICROSECONDS);
-        } else if (action instanceof Action.Refuse a) {
-            finish(a.id(), reply -> reply.refused(a.retryAfterUs()));
+        } else if (action instanceof Action.Reject a) {
+            finish(a.requestId(), reply -> reply.refused(a.retryAfterUs()));
         } else if (action instanceof Action.Fail a) {
-            finish(a.id(), Reply::failed);
-        } else if (action instanceof Action.Cancel a) {
-            Request r = requests.get(a.id());
+            finish(a.requestId(), Reply::failed);
+        } else if (action instanceof Action.CancelAttempt a) {
+            Request r = requests.get(a.requestId());
             Backends.Attempt attempt =
                     r == null || a.attempt() >= r.attempts.size() ? null : r.attempts.get(a.attempt());
-            if (attempt != null && limits.cancel()) {
-                attempt.abort(Outcome.CANCELLED);
+            if (attempt != null && limits.cancellation()) {
+                attempt.abort(AttemptOutcome.CANCELLED);
             }
-        } else if (action instanceof Action.Release a) {
-            backends.release(a.backend());
-        } else if (action instanceof Action.Watch a) {
-            discovery.watch(a.on());
-        } else if (action instanceof Action.Fetch) {
+        } else if (action instanceof Action.CloseIdleConnections a) {
+            backends.release(a.endpointId());
+        } else if (action instanceof Action.WatchEndpoints a) {
+            discovery.watch(a.enabled());
+        } else if (action instanceof Action.FetchEndpoints) {
             discovery.fetch();
-        } else if (action instanceof Action.Log a) {
+        } else if (action instanceof Action.LogMessage a) {
             log.line(a.text());
         } else {
             // The module never probes, and where this proxy runs it may not.
@@ -291,8 +294,8 @@
         }
     }
 
-    private void send(Action.Send send) {
-        Request r = requests.get(send.id());
+    private void send(Action.StartAttempt send) {
+        Request r = requests.get(send.requestId());
         if (r == null) {
             return;
         }
@@ -300,21 +303,22 @@
         long left = r.incoming.deadlineUs() - clock.now();
         long timeoutUs = send.timeoutUs() == 0 ? left : Math.min(send.timeoutUs(), left);
         Backends.Attempt attempt = null;
-        boolean allowed = number < limits.maxAttempts() && timeoutUs > 0 && (r.out == 0 || limits.secondCopies());
+        boolean allowed = number < limits.maxAttempts() && timeoutUs > 0 && (r.out == 0 || limits.hedging());
         if (!r.over && allowed) {
             r.reply.pollClient();
         }
         if (!r.over && allowed) {
             attempt = backends.attempt(
-                    send.backend(),
+                    send.endpointId(),
                     r.incoming.outgoing(),
                     timeoutUs,
                     r.reply::pollClient,
-                    (outcome, latencyUs, answer) -> ended(r, number, send.backend(), outcome, latencyUs, answer));
+                    (outcome, latencyUs, answer) -> ended(r, number, send.endpointId(), outcome, latencyUs, answer));
         }
         r.attempts.add(attempt);
         if (attempt == null) {
-            deliver(new Event.AttemptEnded(send.id(), number, send.backend(), Outcome.NOT_SENT, 0, r.over));
+            deliver(new Event.AttemptEnded(
+                    send.requestId(), number, send.endpointId(), AttemptOutcome.NOT_SENT, 0, r.over));
         } else {
             r.out++;
             attempt.start();
--- a/src/main/java/beechfall/proxy/Serve.java
+++ b/src/main/java/beechfall/proxy/Serve.java
@@ -1,7 +1,7 @@
 package beechfall.proxy;
 
-import beechfall.Balancer;
-import beechfall.Policy;
+import beechfall.EarliestDeadlineLoadBalancer;
+import beechfall.LoadBalancer;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import java.net.InetAddress;
@@ -35,14 +35,14 @@
     private final GracefulShutdown shutdown;
 
     Serve(Config config) {
-        this(config, new Policy(config.settings()));
+        this(config, new EarliestDeadlineLoadBalancer(config.settings()));
     }
 
-    Serve(Config config, Balancer module) {
+    Serve(Config config, LoadBalancer module) {
         this(config, module, Transport.sockets());
     }
 
-    Serve(Config config, Balancer module, Transport transport) {
+    Serve(Config config, LoadBalancer module, Transport transport) {
         this.config = config;
         this.transport = transport;
         loop = transport.loop();
--- a/src/main/java/beechfall/proxy/Warmup.java
+++ b/src/main/java/beechfall/proxy/Warmup.java
@@ -1,7 +1,7 @@
 package beechfall.proxy;
 
-import beechfall.Effect;
-import beechfall.Policy;
+import beechfall.EarliestDeadlineLoadBalancer;
+import beechfall.Idempotency;
 import beechfall.RequestClass;
 import beechfall.Tenant;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -98,7 +98,7 @@
     }
 
     private int run(long timeoutMs) {
-        var serve = new Serve(config, new Policy(config.settings()), transport);
+        var serve = new Serve(config, new EarliestDeadlineLoadBalancer(config.settings()), transport);
         try {
             for (int i = 1; i <= BACKENDS + 1; i++) {
                 transport
@@ -210,10 +210,10 @@
                 done.countDown();
                 return;
             }
-            List<RequestClass> classes = config.settings().classes();
+            List<RequestClass> classes = config.settings().requestClasses();
             List<Tenant> tenants = config.settings().tenants();
             RequestClass type = classes.get(sent % classes.size());
-            boolean safe = type.effect() == Effect.SAFE;
+            boolean safe = type.idempotency() == Idempotency.IDEMPOTENT;
             var request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
                     safe ? HttpMethod.GET : HttpMethod.POST,
@@ -230,7 +230,7 @@
             }
             if (!safe) {
                 HttpUtil.setContentLength(request, BODY.length);
-                if (type.effect() == Effect.KEYED) {
+                if (type.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
                     request.headers().set(Headers.IDEMPOTENCY_KEY, Integer.toHexString(sent));
                 }
             }
--- a/src/main/java/beechfall/wire/Codec.java
+++ b/src/main/java/beechfall/wire/Codec.java
@@ -1,41 +1,41 @@
 package beechfall.wire;
 
 import beechfall.Action;
-import beechfall.Backend;
-import beechfall.Balancer;
+import beechfall.AttemptOutcome;
+import beechfall.BalancerSettings;
+import beechfall.Endpoint;
+import beechfall.EndpointState;
 import beechfall.Event;
-import beechfall.ListKind;
-import beechfall.Outcome;
-import beechfall.Settings;
-import beechfall.State;
+import beechfall.LoadBalancer;
+import beechfall.UpdateKind;
 import java.util.HashMap;
 import java.util.Map;
 
-/** Translates between the lines of the wire and the events and actions of {@link Balancer}. */
+/** Translates between the lines of the wire and the events and actions of {@link LoadBalancer}. */
 final class Codec {
-    private static final Map<String, Outcome> OUTCOMES = Map.of(
-            "delivered", Outcome.OK,
-            "app_error", Outcome.ERROR,
-            "shed", Outcome.FULL,
-            "expired", Outcome.TIMEOUT,
-            "dial_failed", Outcome.CONNECT_FAILED,
-            "dropped", Outcome.RESET,
-            "revoked", Outcome.CANCELLED,
-            "unused", Outcome.NOT_SENT);
-    private static final Map<String, State> STATES = Map.of(
-            "IN", State.READY,
-            "LAME", State.DRAINING,
-            "OUT", State.GONE);
-    private static final Map<String, ListKind> LISTS = Map.of(
-            "patch", ListKind.DELTA,
-            "whole", ListKind.FULL,
-            "stale_copy", ListKind.CACHED,
-            "broken", ListKind.FAILED);
+    private static final Map<String, AttemptOutcome> OUTCOMES = Map.of(
+            "delivered", AttemptOutcome.SUCCESS,
+            "app_error", AttemptOutcome.ERROR,
+            "shed", AttemptOutcome.REJECTED,
+            "expired", AttemptOutcome.TIMEOUT,
+            "dial_failed", AttemptOutcome.CONNECT_FAILED,
+            "dropped", AttemptOutcome.RESET,
+            "revoked", AttemptOutcome.CANCELLED,
+            "unused", AttemptOutcome.NOT_SENT);
+    private static final Map<String, EndpointState> STATES = Map.of(
+            "IN", EndpointState.READY,
+            "LAME", EndpointState.DRAINING,
+            "OUT", EndpointState.GONE);
+    private static final Map<String, UpdateKind> LISTS = Map.of(
+            "patch", UpdateKind.DELTA,
+            "whole", UpdateKind.SNAPSHOT,
+            "stale_copy", UpdateKind.CACHED,
+            "broken", UpdateKind.POLL_FAILED);
 
     private Codec() {}
 
     /** Reads the settings of an {@code up} line. */
-    static Settings settings(Fields up) {
+    static BalancerSettings settings(Fields up) {
         var values = new HashMap<String, String>();
         for (int i = 0; i < up.size(); i++) {
             values.put(up.key(i), up.value(i));
@@ -47,7 +47,7 @@
     static Event event(String name, Fields in) {
         return switch (name) {
             case "incoming" ->
-                new Event.Arrival(
+                new Event.RequestArrived(
                         in.text("op_id"),
                         in.text("kind"),
                         in.optional("user_group"),
@@ -63,25 +63,25 @@
                         in.whole("cost_time_us"),
                         in.flag("last"));
             case "deadline_hit" -> new Event.TimerFired(in.text("ctx"));
-            case "hangup" -> new Event.ClientGone(in.text("op_id"));
+            case "hangup" -> new Event.ClientDisconnected(in.text("op_id"));
             case "flowing" -> new Event.StreamStarted(in.text("op_id"), in.small("go"));
             case "probed" ->
-                new Event.ProbeEnded(in.text("backend"), word(in, "how", OUTCOMES), in.whole("cost_time_us"));
+                new Event.HealthCheckEnded(in.text("backend"), word(in, "how", OUTCOMES), in.whole("cost_time_us"));
             case "inbox" -> null;
             default -> throw new WireException("unknown event '" + name + "'");
         };
     }
 
-    static ListKind listKind(Fields in) {
+    static UpdateKind listKind(Fields in) {
         return word(in, "form", LISTS);
     }
 
     /** Reads one {@code entry} line of a list. */
-    static Backend backend(Fields in) {
+    static Endpoint backend(Fields in) {
         if (!in.name().equals("entry")) {
             throw new WireException("expected 'entry', found '" + in.name() + "'");
         }
-        return new Backend(
+        return new Endpoint(
                 in.text("backend"),
                 word(in, "stage_state", STATES),
                 in.optional("machine"),
@@ -93,12 +93,12 @@
 
     /** Appends the line of an action. */
     static void write(StringBuilder out, int who, Action action) {
-        if (action instanceof Action.Send a) {
+        if (action instanceof Action.StartAttempt a) {
             head(out, "relay", who)
                     .append(" op_id=")
-                    .append(a.id())
+                    .append(a.requestId())
                     .append(" backend=")
-                    .append(a.backend())
+                    .append(a.endpointId())
                     .append(" max_wait_us=")
                     .append(a.timeoutUs());
         } else if (action instanceof Action.SetTimer a) {
@@ -107,28 +107,28 @@
                     .append(a.atUs())
                     .append(" ctx=")
                     .append(a.token());
-        } else if (action instanceof Action.Refuse a) {
-            head(out, "not_now", who).append(" op_id=").append(a.id());
+        } else if (action instanceof Action.Reject a) {
+            head(out, "not_now", who).append(" op_id=").append(a.requestId());
             if (a.retryAfterUs() > 0) {
                 out.append(" not_before_for_us=").append(a.retryAfterUs());
             }
         } else if (action instanceof Action.Fail a) {
-            head(out, "finish_error", who).append(" op_id=").append(a.id());
-        } else if (action instanceof Action.Cancel a) {
+            head(out, "finish_error", who).append(" op_id=").append(a.requestId());
+        } else if (action instanceof Action.CancelAttempt a) {
             head(out, "retract", who)
                     .append(" op_id=")
-                    .append(a.id())
+                    .append(a.requestId())
                     .append(" go=")
                     .append(a.attempt());
-        } else if (action instanceof Action.Release a) {
-            head(out, "release", who).append(" backend=").append(a.backend());
-        } else if (action instanceof Action.Probe a) {
-            head(out, "sound_out", who).append(" backend=").append(a.backend());
-        } else if (action instanceof Action.Watch a) {
-            head(out, "observe", who).append(" enable=").append(a.on() ? 1 : 0);
-        } else if (action instanceof Action.Fetch) {
+        } else if (action instanceof Action.CloseIdleConnections a) {
+            head(out, "release", who).append(" backend=").append(a.endpointId());
+        } else if (action instanceof Action.CheckHealth a) {
+            head(out, "sound_out", who).append(" backend=").append(a.endpointId());
+        } else if (action instanceof Action.WatchEndpoints a) {
+            head(out, "observe", who).append(" enable=").append(a.enabled() ? 1 : 0);
+        } else if (action instanceof Action.FetchEndpoints) {
             head(out, "pull", who);
-        } else if (action instanceof Action.Log a) {
+        } else if (action instanceof Action.LogMessage a) {
             head(out, "print", who).append(" message=").append(oneLine(a.text()));
         } else {
             throw new IllegalStateException("no line for " + action);
--- a/src/main/java/beechfall/wire/Host.java
+++ b/src/main/java/beechfall/wire/Host.java
@@ -1,12 +1,12 @@
 package beechfall.wire;
 
 import beechfall.Action;
-import beechfall.Backend;
-import beechfall.Balancer;
+import beechfall.BalancerSettings;
+import beechfall.EarliestDeadlineLoadBalancer;
+import beechfall.Endpoint;
 import beechfall.Event;
-import beechfall.ListKind;
-import beechfall.Policy;
-import beechfall.Settings;
+import beechfall.LoadBalancer;
+import beechfall.UpdateKind;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStream;
@@ -23,7 +23,7 @@
 
 /** Reads batches of events, gives each to its instance, and writes the reply. Instances share nothing. */
 final class Host {
-    private final Function<Settings, Balancer> factory;
+    private final Function<BalancerSettings, LoadBalancer> factory;
     private final Map<Integer, Instance> instances = new HashMap<>();
     private final Fields fields = new Fields();
     private final StringBuilder reply = new StringBuilder(1 << 12);
@@ -31,10 +31,10 @@
     private long lineNumber;
 
     Host() {
-        this(Policy::new);
+        this(EarliestDeadlineLoadBalancer::new);
     }
 
-    Host(Function<Settings, Balancer> factory) {
+    Host(Function<BalancerSettings, LoadBalancer> factory) {
         this.factory = factory;
     }
 
@@ -110,7 +110,7 @@
     }
 
     private void up(int who) {
-        Settings settings;
+        BalancerSettings settings;
         try {
             settings = Codec.settings(fields);
         } catch (IllegalArgumentException e) {
@@ -123,10 +123,10 @@
         }
     }
 
-    private Event.Members members() throws IOException {
-        ListKind kind = Codec.listKind(fields);
+    private Event.EndpointUpdate members() throws IOException {
+        UpdateKind kind = Codec.listKind(fields);
         int count = fields.optional("nodes_list") == null ? 0 : fields.small("nodes_list");
-        List<Backend> backends = new ArrayList<>(Math.min(count, 1024));
+        List<Endpoint> backends = new ArrayList<>(Math.min(count, 1024));
         for (int i = 0; i < count; i++) {
             fields.read(nextInBatch());
             try {
@@ -135,7 +135,7 @@
                 throw new WireException("entry: " + e.getMessage());
             }
         }
-        return new Event.Members(kind, backends);
+        return new Event.EndpointUpdate(kind, backends);
     }
 
     private void panic(int who, RuntimeException e) {
@@ -150,9 +150,9 @@
     /** One proxy's module, writing its actions to the reply under its number. */
     private final class Instance implements Consumer<Action> {
         private final int who;
-        private final Balancer balancer;
+        private final LoadBalancer balancer;
 
-        Instance(int who, Balancer balancer) {
+        Instance(int who, LoadBalancer balancer) {
             this.who = who;
             this.balancer = balancer;
         }
--- a/src/main/java/beechfall/wire/SettingsReader.java
+++ b/src/main/java/beechfall/wire/SettingsReader.java
@@ -1,11 +1,11 @@
 package beechfall.wire;
 
-import beechfall.Effect;
+import beechfall.BalancerSettings;
+import beechfall.DeduplicationScope;
+import beechfall.Idempotency;
 import beechfall.Limits;
 import beechfall.RequestClass;
-import beechfall.Rules;
-import beechfall.Scope;
-import beechfall.Settings;
+import beechfall.SafetyLimits;
 import beechfall.Tenant;
 import java.util.ArrayList;
 import java.util.Map;
@@ -16,14 +16,14 @@
  * and are told here once for both.
  */
 public final class SettingsReader {
-    private static final Map<String, Effect> EFFECTS = Map.of(
-            "idempotent", Effect.SAFE,
-            "deduplicated", Effect.KEYED,
-            "at_most_once", Effect.UNSAFE);
-    private static final Map<String, Scope> SCOPES = Map.of(
-            "all", Scope.ALL,
-            "zone", Scope.ZONE,
-            "cell", Scope.CELL);
+    private static final Map<String, Idempotency> EFFECTS = Map.of(
+            "idempotent", Idempotency.IDEMPOTENT,
+            "deduplicated", Idempotency.IDEMPOTENT_WITH_KEY,
+            "at_most_once", Idempotency.NOT_IDEMPOTENT);
+    private static final Map<String, DeduplicationScope> SCOPES = Map.of(
+            "all", DeduplicationScope.ALL,
+            "zone", DeduplicationScope.ZONE,
+            "cell", DeduplicationScope.CELL);
     private static final Map<String, Boolean> MODES = Map.of("pushed", false, "on_request", true);
     private static final Map<String, Boolean> FLAGS = Map.of("true", true, "1", true, "false", false, "0", false);
 
@@ -40,7 +40,7 @@
      * @param seed the seed of the instance's random numbers
      * @throws IllegalArgumentException if a setting is missing or makes no sense; the message names it
      */
-    public static Settings read(Map<String, String> values, long seed) {
+    public static BalancerSettings read(Map<String, String> values, long seed) {
         return new SettingsReader(values).settings(seed);
     }
 
@@ -53,12 +53,12 @@
         return new SettingsReader(values).whole(path);
     }
 
-    private Settings settings(long seed) {
+    private BalancerSettings settings(long seed) {
         var classes = new ArrayList<RequestClass>();
         for (int i = 0; i < whole("profiles.count"); i++) {
             String path = "profiles." + i + ".";
             var effect = word(path + "effect", EFFECTS);
-            boolean keyed = effect == Effect.KEYED;
+            boolean keyed = effect == Idempotency.IDEMPOTENT_WITH_KEY;
             classes.add(new RequestClass(
                     text(path + "name"),
                     whole(path + "aim_us"),
@@ -66,7 +66,7 @@
                     number(path + "value"),
                     number(path + "late_worth"),
                     effect,
-                    keyed ? word(path + "key_scope", SCOPES) : Scope.ALL,
+                    keyed ? word(path + "key_scope", SCOPES) : DeduplicationScope.ALL,
                     keyed ? whole(path + "window_us") : 0));
         }
         var tenants = new ArrayList<Tenant>();
@@ -83,14 +83,14 @@
                 (int) whole("bounds.most_tries"),
                 has("bounds.retry_after") && !flag("bounds.retry_after") ? 0 : whole("bounds.max_retry_after_us"),
                 whole("bounds.connect_timeout_us"));
-        var rules = new Rules(
+        var rules = new SafetyLimits(
                 number("invariants.cold_from"),
                 whole("invariants.cold_us"),
                 number("invariants.fall_multiple"),
                 whole("invariants.fall_us"),
                 whole("invariants.must_ask_in_us"),
                 has("invariants.full_unproven") && flag("invariants.full_unproven"));
-        return new Settings(
+        return new BalancerSettings(
                 (int) whole("balancers"),
                 (int) whole("rank"),
                 text("locality"),
--- a/src/test/java/beechfall/ChurnTest.java
+++ b/src/test/java/beechfall/ChurnTest.java
@@ -7,7 +7,7 @@
 import static beechfall.ModuleDriver.started;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Event.Members;
+import beechfall.Event.EndpointUpdate;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -21,9 +21,11 @@
         proxy.list(backend("s0"), backend("s1"));
         for (int i = 0; i < 5_000; i++) {
             String id = proxy.arrive(READ);
-            proxy.feed(new Members(ListKind.DELTA, List.of(in(State.READY, "s" + (i + 2)), in(State.GONE, "s" + i))));
+            proxy.feed(new EndpointUpdate(
+                    UpdateKind.DELTA,
+                    List.of(in(EndpointState.READY, "s" + (i + 2)), in(EndpointState.GONE, "s" + i))));
             if (proxy.sends(id) > 0) {
-                proxy.end(id, Outcome.OK, 20_000);
+                proxy.end(id, AttemptOutcome.SUCCESS, 20_000);
             }
             proxy.now += S;
         }
@@ -37,18 +39,18 @@
         boolean failed = false;
         for (int i = 0; i < 20; i++) {
             String id = proxy.arrive(READ);
-            boolean a = proxy.lastSend(id).backend().equals("a");
-            proxy.end(id, a ? Outcome.CONNECT_FAILED : Outcome.OK, 20_000);
+            boolean a = proxy.lastSend(id).endpointId().equals("a");
+            proxy.end(id, a ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.SUCCESS, 20_000);
             assertThat(a && failed).as("a failed and is sent to again").isFalse();
             failed |= a;
         }
         assertThat(failed).isTrue();
-        proxy.feed(new Members(ListKind.DELTA, List.of(started("a", 2))));
+        proxy.feed(new EndpointUpdate(UpdateKind.DELTA, List.of(started("a", 2))));
         boolean sent = false;
         for (int i = 0; i < 20; i++) {
             String id = proxy.arrive(READ);
-            sent |= proxy.lastSend(id).backend().equals("a");
-            proxy.end(id, Outcome.OK, 20_000);
+            sent |= proxy.lastSend(id).endpointId().equals("a");
+            proxy.end(id, AttemptOutcome.SUCCESS, 20_000);
         }
         assertThat(sent).isTrue();
     }
--- a/src/test/java/beechfall/ColdBackendFleetTest.java
+++ b/src/test/java/beechfall/ColdBackendFleetTest.java
@@ -6,11 +6,11 @@
 import static beechfall.ModuleDriver.S;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Action.Send;
 import beechfall.Action.SetTimer;
-import beechfall.Event.Arrival;
+import beechfall.Action.StartAttempt;
 import beechfall.Event.AttemptEnded;
-import beechfall.Event.Members;
+import beechfall.Event.EndpointUpdate;
+import beechfall.Event.RequestArrived;
 import beechfall.Event.TimerFired;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -28,7 +28,7 @@
  * eight times as much as each of the others. It is calm before the burst, so that unused budget could be saved up.
  */
 class ColdBackendFleetTest {
-    private static final Rules RULES = new Rules(0.4, 20 * S, 1.5, S, 10 * S, false);
+    private static final SafetyLimits RULES = new SafetyLimits(0.4, 20 * S, 1.5, S, 10 * S, false);
     /** A backend serves one request at a time. */
     private static final long SERVICE_US = 100 * MS;
 
@@ -38,7 +38,7 @@
 
     private static final long STARTED_AT = 30 * S;
     private static final long BURST_AT = 44 * S;
-    private static final long END = STARTED_AT + RULES.coldUs();
+    private static final long END = STARTED_AT + RULES.slowStartUs();
 
     @ParameterizedTest
     @CsvSource({
@@ -68,11 +68,11 @@
 
         private final Random random;
         private final int size;
-        private final List<Policy> proxies = new ArrayList<>();
+        private final List<EarliestDeadlineLoadBalancer> proxies = new ArrayList<>();
         private final double[] cumulativeTraffic;
         private final double loadBeforeBurst;
         private final boolean listChangesEachSecond;
-        private final Map<String, Backend> backends = new HashMap<>();
+        private final Map<String, Endpoint> backends = new HashMap<>();
         private final Map<String, Long> freeAt = new HashMap<>();
         private final Map<String, List<Long>> coldSends = new HashMap<>();
         private final PriorityQueue<Due> due =
@@ -90,7 +90,7 @@
             cumulativeTraffic = new double[count];
             double sum = 0;
             for (int rank = 0; rank < count; rank++) {
-                proxies.add(new Policy(new Settings(
+                proxies.add(new EarliestDeadlineLoadBalancer(new BalancerSettings(
                         count, rank, "a", MS, List.of(READ), List.of(), 1, false, LIMITS, RULES, random.nextLong())));
                 sum += rank % 5 == 0 ? 4 : 0.5;
                 cumulativeTraffic[rank] = sum;
@@ -101,7 +101,7 @@
             for (int i = 0; i < size; i++) {
                 backends.put("s" + i, ModuleDriver.backend("s" + i));
             }
-            at(0, () -> tell(ListKind.FULL, List.copyOf(backends.values())));
+            at(0, () -> tell(UpdateKind.SNAPSHOT, List.copyOf(backends.values())));
             at(STARTED_AT, this::startCold);
             at(MS, this::arrive);
             if (listChangesEachSecond) {
@@ -118,31 +118,31 @@
             due.add(new Due(time, order++, task));
         }
 
-        private void tell(ListKind kind, List<Backend> news) {
+        private void tell(UpdateKind kind, List<Endpoint> news) {
             for (int rank = 0; rank < proxies.size(); rank++) {
-                handle(rank, new Members(kind, news));
+                handle(rank, new EndpointUpdate(kind, news));
             }
         }
 
         private void startCold() {
-            var news = new ArrayList<Backend>();
+            var news = new ArrayList<Endpoint>();
             for (int i = 0; i < size / RESTARTED; i++) {
                 news.add(ModuleDriver.started("s" + i, now));
                 news.add(ModuleDriver.started("new" + i, now));
             }
             news.forEach(b -> backends.put(b.id(), b));
-            tell(ListKind.DELTA, news);
+            tell(UpdateKind.DELTA, news);
         }
 
         private void changeList() {
-            tell(ListKind.DELTA, List.of(ModuleDriver.in(State.GONE, "other" + now / S)));
+            tell(UpdateKind.DELTA, List.of(ModuleDriver.in(EndpointState.GONE, "other" + now / S)));
             at(now + S, this::changeList);
         }
 
         private void arrive() {
             double place = random.nextDouble() * cumulativeTraffic[proxies.size() - 1];
             int rank = -1 - Arrays.binarySearch(cumulativeTraffic, place);
-            handle(rank, new Arrival("r" + order++, "read", null, null, READ.deadlineUs(), false));
+            handle(rank, new RequestArrived("r" + order++, "read", null, null, READ.deadlineUs(), false));
             // Half of what the backends can do, as long as nothing is cold, then what the case names, then twice as
             // much.
             double load = now < STARTED_AT ? 0.5 : now < BURST_AT ? loadBeforeBurst : 1.5;
@@ -156,17 +156,17 @@
             for (Action action : actions) {
                 if (action instanceof SetTimer t) {
                     at(Math.max(now, t.atUs()), () -> handle(rank, new TimerFired(t.token())));
-                } else if (action instanceof Send s) {
+                } else if (action instanceof StartAttempt s) {
                     serve(rank, s);
                 }
             }
         }
 
         /** A backend works off one request after the other, and turns away what would wait too long. */
-        private void serve(int rank, Send send) {
-            Backend to = backends.get(send.backend());
+        private void serve(int rank, StartAttempt send) {
+            Endpoint to = backends.get(send.endpointId());
             countCold(to);
-            int attempt = attempts.merge(send.id(), 1, Integer::sum) - 1;
+            int attempt = attempts.merge(send.requestId(), 1, Integer::sum) - 1;
             long begin = Math.max(now, freeAt.getOrDefault(to.id(), 0L));
             long service = (long) (SERVICE_US * (0.5 + random.nextDouble()) / capacityPart(to));
             boolean full = begin - now > 10 * SERVICE_US;
@@ -175,33 +175,42 @@
             if (!full) {
                 freeAt.put(to.id(), endsAt);
             }
-            Outcome outcome = late ? Outcome.TIMEOUT : full ? Outcome.FULL : Outcome.OK;
+            AttemptOutcome outcome =
+                    late ? AttemptOutcome.TIMEOUT : full ? AttemptOutcome.REJECTED : AttemptOutcome.SUCCESS;
             long latency = Math.min(send.timeoutUs(), endsAt - now);
             at(
                     now + latency,
                     () -> handle(
                             rank,
-                            new AttemptEnded(send.id(), attempt, to.id(), outcome, latency, outcome == Outcome.OK)));
+                            new AttemptEnded(
+                                    send.requestId(),
+                                    attempt,
+                                    to.id(),
+                                    outcome,
+                                    latency,
+                                    outcome == AttemptOutcome.SUCCESS)));
         }
 
-        private double capacityPart(Backend b) {
+        private double capacityPart(Endpoint b) {
             return b.startedAtUs() == 0
                     ? 1
-                    : RULES.coldFrom() + (1 - RULES.coldFrom()) * (now - b.startedAtUs()) / RULES.coldUs();
+                    : RULES.initialCapacity()
+                            + (1 - RULES.initialCapacity()) * (now - b.startedAtUs()) / RULES.slowStartUs();
         }
 
-        private double allowed(Backend b) {
-            return RULES.fallMultiple() * capacityPart(b) * RULES.fallUs() / SERVICE_US;
+        private double allowed(Endpoint b) {
+            return RULES.overloadMultiple() * capacityPart(b) * RULES.overloadWindowUs() / SERVICE_US;
         }
 
-        private void countCold(Backend b) {
+        private void countCold(Endpoint b) {
             if (b.startedAtUs() == 0) {
                 return;
             }
             List<Long> sends = coldSends.computeIfAbsent(b.id(), id -> new ArrayList<>());
             sends.add(now);
-            long inWindow =
-                    sends.stream().filter(time -> time > now - RULES.fallUs()).count();
+            long inWindow = sends.stream()
+                    .filter(time -> time > now - RULES.overloadWindowUs())
+                    .count();
             double n = allowed(b);
             worst = Math.max(worst, inWindow / (n + 2 * Math.sqrt(n) + 2));
         }
@@ -213,8 +222,9 @@
                             sends.stream().filter(time -> time >= BURST_AT).count())
                     .sum();
             long halfway = (BURST_AT + END) / 2;
-            double part = RULES.coldFrom() + (1 - RULES.coldFrom()) * (halfway - STARTED_AT) / RULES.coldUs();
-            return sent * SERVICE_US / (2 * (size / RESTARTED) * RULES.fallMultiple() * part * (END - BURST_AT));
+            double part = RULES.initialCapacity()
+                    + (1 - RULES.initialCapacity()) * (halfway - STARTED_AT) / RULES.slowStartUs();
+            return sent * SERVICE_US / (2 * (size / RESTARTED) * RULES.overloadMultiple() * part * (END - BURST_AT));
         }
     }
 }
--- a/src/test/java/beechfall/CrowdTest.java
+++ b/src/test/java/beechfall/CrowdTest.java
@@ -9,8 +9,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import beechfall.Action.Fail;
-import beechfall.Action.Refuse;
-import beechfall.Action.Send;
+import beechfall.Action.Reject;
+import beechfall.Action.StartAttempt;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.IntStream;
@@ -28,8 +28,9 @@
         for (int i = 0; i < 100; i++) {
             proxy.arrive(READ);
         }
-        long sent = proxy.actions.stream().filter(a -> a instanceof Send).count();
-        long refused = proxy.actions.stream().filter(a -> a instanceof Refuse).count();
+        long sent =
+                proxy.actions.stream().filter(a -> a instanceof StartAttempt).count();
+        long refused = proxy.actions.stream().filter(a -> a instanceof Reject).count();
         assertThat(sent).isBetween(2L, 10L);
         assertThat(refused).isBetween(80L, 96L);
         assertThat(sent + refused).isLessThan(100);
@@ -45,7 +46,7 @@
         String read = proxy.arrive(READ);
         String pay = proxy.arrive(PAY);
         assertThat(proxy.sends(read) + proxy.sends(pay)).isZero();
-        proxy.end(sent.get(0), Outcome.OK, 30 * MS);
+        proxy.end(sent.get(0), AttemptOutcome.SUCCESS, 30 * MS);
         assertThat(proxy.sends(pay)).isEqualTo(1);
         assertThat(proxy.sends(read)).isZero();
     }
@@ -57,7 +58,7 @@
             proxy.arrive(READ);
         }
         String pay = proxy.arrive(PAY);
-        assertThat(proxy.has(new Refuse(pay, 0))).isFalse();
+        assertThat(proxy.has(new Reject(pay, 0))).isFalse();
         assertThat(proxy.has(new Fail(pay))).isFalse();
     }
 
@@ -71,8 +72,8 @@
             p.arrive(READ);
         }
         var hints = p.actions.stream()
-                .filter(a -> a instanceof Refuse)
-                .map(a -> ((Refuse) a).retryAfterUs())
+                .filter(a -> a instanceof Reject)
+                .map(a -> ((Reject) a).retryAfterUs())
                 .toList();
         assertThat(hints)
                 .hasSizeGreaterThan(5)
@@ -92,8 +93,11 @@
         }
         String modest = p.arrive(READ, "modest");
         String first = held.stream().filter(id -> p.sends(id) == 1).findFirst().orElseThrow();
-        p.end(first, Outcome.OK, 30 * MS);
-        p.end(held.stream().filter(id -> p.sends(id) == 1).skip(1).findFirst().orElseThrow(), Outcome.OK, 30 * MS);
+        p.end(first, AttemptOutcome.SUCCESS, 30 * MS);
+        p.end(
+                held.stream().filter(id -> p.sends(id) == 1).skip(1).findFirst().orElseThrow(),
+                AttemptOutcome.SUCCESS,
+                30 * MS);
         assertThat(p.sends(modest)).isEqualTo(1);
     }
 
@@ -104,7 +108,7 @@
             proxy.now += 5 * MS;
             for (String id : List.of(proxy.arrive(READ), proxy.arrive(READ))) {
                 if (proxy.sends(id) > 0) {
-                    proxy.end(id, Outcome.OK, MS);
+                    proxy.end(id, AttemptOutcome.SUCCESS, MS);
                 }
             }
         }
@@ -113,7 +117,7 @@
             proxy.arrive(READ);
         }
         long sent = proxy.actions.subList(before, proxy.actions.size()).stream()
-                .filter(a -> a instanceof Send)
+                .filter(a -> a instanceof StartAttempt)
                 .count();
         // 400 answers a second, and a fifth of the shortest aim (400 ms).
         assertThat(sent).isBetween(25L, 35L);
@@ -122,15 +126,15 @@
     /** One answer in fifty never comes, whoever was to give it: what hangs must not take the room of all the others. */
     @Test
     void attemptsThatHangDoNotCrowdOutTheOthers() {
-        proxy.list(IntStream.range(0, 10).mapToObj(i -> backend("b" + i)).toArray(Backend[]::new));
+        proxy.list(IntStream.range(0, 10).mapToObj(i -> backend("b" + i)).toArray(Endpoint[]::new));
         int refused = 0;
         for (int i = 0; i < 3000; i++) {
             proxy.now += 5 * MS;
             String id = proxy.arrive(READ);
             if (i % 50 != 0 && proxy.sends(id) > 0) {
-                proxy.end(id, Outcome.OK, 5 * MS);
+                proxy.end(id, AttemptOutcome.SUCCESS, 5 * MS);
             }
-            refused += i >= 1000 && proxy.actions.get(proxy.actions.size() - 1) instanceof Refuse ? 1 : 0;
+            refused += i >= 1000 && proxy.actions.get(proxy.actions.size() - 1) instanceof Reject ? 1 : 0;
         }
         assertThat(refused).isLessThan(100);
     }
@@ -140,8 +144,8 @@
     @ValueSource(booleans = {false, true})
     void aLoneProxyKeepsItsBackendsBusyWhenUnqueuedWorkFillsTheLimit(boolean listChangesEachSecond) {
         // One of three, the others gone. An answer takes 200 ms without a queue, more than a fifth of the shortest aim.
-        var p = new ModuleDriver(
-                new Settings(3, 0, "a", MS, List.of(READ, ModuleDriver.PAY), List.of(), 1, false, LIMITS, RULES, 1));
+        var p = new ModuleDriver(new BalancerSettings(
+                3, 0, "a", MS, List.of(READ, ModuleDriver.PAY), List.of(), 1, false, LIMITS, RULES, 1));
         p.list(backend("a"), backend("b"), backend("c"));
         record Sent(String id, long at) {}
         var out = new java.util.ArrayDeque<Sent>();
@@ -150,18 +154,18 @@
         for (int step = 0; step < 3000; step++) {
             p.now += 20 * MS;
             if (listChangesEachSecond && step % 50 == 0) {
-                var gone = ModuleDriver.in(State.GONE, "other" + step);
-                p.feed(new Event.Members(ListKind.DELTA, List.of(gone)));
+                var gone = ModuleDriver.in(EndpointState.GONE, "other" + step);
+                p.feed(new Event.EndpointUpdate(UpdateKind.DELTA, List.of(gone)));
             }
             p.arrive(READ);
             for (; seen < p.actions.size(); seen++) {
-                if (p.actions.get(seen) instanceof Send s) {
-                    out.add(new Sent(s.id(), p.now));
+                if (p.actions.get(seen) instanceof StartAttempt s) {
+                    out.add(new Sent(s.requestId(), p.now));
                     inLastSecond += step >= 2950 ? 1 : 0;
                 }
             }
             while (!out.isEmpty() && out.peek().at() + 200 * MS <= p.now) {
-                p.end(out.remove().id(), Outcome.OK, 200 * MS);
+                p.end(out.remove().id(), AttemptOutcome.SUCCESS, 200 * MS);
             }
         }
         // Fifty came in; three at a time would be fifteen.
@@ -171,9 +175,9 @@
     @Test
     void twelveProxiesTogetherHoldNoMoreThanOne() {
         var alone = new ModuleDriver();
-        var oneOfTwelve =
-                new ModuleDriver(new Settings(12, 0, "a", MS, List.of(READ), List.of(), 1, false, LIMITS, RULES, 1));
-        var backends = new Backend[24];
+        var oneOfTwelve = new ModuleDriver(
+                new BalancerSettings(12, 0, "a", MS, List.of(READ), List.of(), 1, false, LIMITS, RULES, 1));
+        var backends = new Endpoint[24];
         for (int i = 0; i < backends.length; i++) {
             backends[i] = backend("s" + i);
         }
@@ -182,17 +186,17 @@
 
     @Test
     void aBackendThatIsStuckGathersAttemptsOfAFewProxiesOnly() {
-        var backends = new Backend[24];
+        var backends = new Endpoint[24];
         var gathered = new java.util.HashMap<String, Integer>();
         for (int i = 0; i < backends.length; i++) {
             backends[i] = backend("s" + i, "std", i % 2 == 0 ? "a" : "b", 1);
         }
         for (int rank = 0; rank < 12; rank++) {
             var p = new ModuleDriver(
-                    new Settings(12, rank, "a", MS, List.of(READ), List.of(), 1, false, LIMITS, RULES, rank));
+                    new BalancerSettings(12, rank, "a", MS, List.of(READ), List.of(), 1, false, LIMITS, RULES, rank));
             p.list(backends);
             for (int i = 0; i < 6; i++) {
-                gathered.merge(p.lastSend(p.arrive(READ)).backend(), 1, Integer::sum);
+                gathered.merge(p.lastSend(p.arrive(READ)).endpointId(), 1, Integer::sum);
             }
         }
         assertThat(gathered)
@@ -209,9 +213,9 @@
         String held = proxy.arrive(READ);
         // Its aim is 600 ms away; an attempt may take 0.4 of the shortest aim, 400 ms.
         proxy.run(439 * MS);
-        assertThat(proxy.has(new Action.Refuse(held, 0))).isFalse();
+        assertThat(proxy.has(new Action.Reject(held, 0))).isFalse();
         proxy.run(1 * MS);
-        assertThat(proxy.has(new Action.Refuse(held, 0))).isTrue();
+        assertThat(proxy.has(new Action.Reject(held, 0))).isTrue();
     }
 
     @Test
@@ -219,45 +223,46 @@
         proxy.list(backend("a"));
         for (int i = 0; i < 4; i++) {
             String id = "first" + i;
-            proxy.feed(new Event.Arrival(id, "read", null, null, 1800 * MS, false));
+            proxy.feed(new Event.RequestArrived(id, "read", null, null, 1800 * MS, false));
         }
         assertThat(proxy.sends("first2")).isEqualTo(1);
         assertThat(proxy.sends("first3")).isZero();
         // 1.2 s of 2 s are left, so the client began 0.8 s ago; its aim was 0.6 s.
-        proxy.feed(new Event.Arrival("late", "read", null, null, 1200 * MS, true));
+        proxy.feed(new Event.RequestArrived("late", "read", null, null, 1200 * MS, true));
         // As much patience as first tries have: nothing is known of when it began.
-        proxy.feed(new Event.Arrival("again", "read", null, null, 1800 * MS, true));
-        assertThat(proxy.has(new Action.Refuse("late", 0))).isTrue();
-        proxy.end("first0", Outcome.OK, MS);
-        proxy.end("first1", Outcome.OK, MS);
+        proxy.feed(new Event.RequestArrived("again", "read", null, null, 1800 * MS, true));
+        assertThat(proxy.has(new Action.Reject("late", 0))).isTrue();
+        proxy.end("first0", AttemptOutcome.SUCCESS, MS);
+        proxy.end("first1", AttemptOutcome.SUCCESS, MS);
         assertThat(proxy.sends("again")).isEqualTo(1);
         // With room to spare it is still served.
         proxy.now += 100 * MS;
-        proxy.end("first2", Outcome.OK, MS);
-        proxy.end("first3", Outcome.OK, MS);
-        proxy.end("again", Outcome.OK, MS);
-        proxy.feed(new Event.Arrival("idle", "read", null, null, 1200 * MS, true));
+        proxy.end("first2", AttemptOutcome.SUCCESS, MS);
+        proxy.end("first3", AttemptOutcome.SUCCESS, MS);
+        proxy.end("again", AttemptOutcome.SUCCESS, MS);
+        proxy.feed(new Event.RequestArrived("idle", "read", null, null, 1200 * MS, true));
         assertThat(proxy.sends("idle")).isEqualTo(1);
     }
 
     @Test
     void roomGoesToARequestWhoseKeyIsAtHomeThere() {
-        var p = new ModuleDriver(new Settings(3, 0, "a", MS, List.of(READ), List.of(), 1, true, LIMITS, RULES, 1));
+        var p = new ModuleDriver(
+                new BalancerSettings(3, 0, "a", MS, List.of(READ), List.of(), 1, true, LIMITS, RULES, 1));
         p.list(backend("a"), backend("b"), backend("c"), backend("d"), backend("e"), backend("f"));
         String[] key = new String[60];
         var home = new java.util.HashMap<String, String>();
         for (int i = 0; i < key.length; i++) {
             key[i] = "key" + i;
-            p.feed(new Event.Arrival("probe" + i, "read", null, key[i], 2 * ModuleDriver.S, false));
-            home.put(key[i], p.lastSend("probe" + i).backend());
-            p.end("probe" + i, Outcome.OK, MS);
+            p.feed(new Event.RequestArrived("probe" + i, "read", null, key[i], 2 * ModuleDriver.S, false));
+            home.put(key[i], p.lastSend("probe" + i).endpointId());
+            p.end("probe" + i, AttemptOutcome.SUCCESS, MS);
         }
         p.now += 20 * ModuleDriver.S;
         var out = new ArrayList<String>();
         for (int i = 0; i < 6; i++) {
             out.add(p.arrive(READ));
         }
-        String freed = p.lastSend(out.get(0)).backend();
+        String freed = p.lastSend(out.get(0)).endpointId();
         String other = java.util.Arrays.stream(key)
                 .filter(k -> !home.get(k).equals(freed))
                 .findFirst()
@@ -266,11 +271,11 @@
                 .filter(k -> home.get(k).equals(freed))
                 .findFirst()
                 .orElseThrow();
-        p.feed(new Event.Arrival("other", "read", null, other, 2 * ModuleDriver.S, false));
+        p.feed(new Event.RequestArrived("other", "read", null, other, 2 * ModuleDriver.S, false));
         p.now += MS;
-        p.feed(new Event.Arrival("fits", "read", null, fits, 2 * ModuleDriver.S, false));
+        p.feed(new Event.RequestArrived("fits", "read", null, fits, 2 * ModuleDriver.S, false));
         assertThat(p.sends("other") + p.sends("fits")).isZero();
-        p.end(out.get(0), Outcome.OK, MS);
+        p.end(out.get(0), AttemptOutcome.SUCCESS, MS);
         assertThat(p.sends("fits")).isEqualTo(1);
         assertThat(p.sends("other")).isZero();
     }
@@ -278,10 +283,11 @@
     /** One of 400 proxies at 60 backends: its part of what all may have out is 3 x 60 / 400, under half an attempt. */
     private static ModuleDriver oneOfHundreds(int rank, RequestClass... classes) {
         var all = classes.length == 0 ? List.of(READ) : List.of(classes);
-        var p = new ModuleDriver(new Settings(400, rank, "a", MS, all, List.of(), 1, false, LIMITS, RULES, rank));
+        var p = new ModuleDriver(
+                new BalancerSettings(400, rank, "a", MS, all, List.of(), 1, false, LIMITS, RULES, rank));
         p.list(java.util.stream.IntStream.range(0, 60)
                 .mapToObj(i -> backend("s" + i))
-                .toArray(Backend[]::new));
+                .toArray(Endpoint[]::new));
         p.run(5 * ModuleDriver.S);
         return p;
     }
@@ -305,10 +311,12 @@
                 p.arrive(READ);
             }
             p.run(50 * MS);
-            p.actions.stream().filter(a -> a instanceof Send).forEach(a -> sentAt.putIfAbsent(((Send) a).id(), p.now));
+            p.actions.stream()
+                    .filter(a -> a instanceof StartAttempt)
+                    .forEach(a -> sentAt.putIfAbsent(((StartAttempt) a).requestId(), p.now));
             for (String id : List.copyOf(sentAt.keySet())) {
                 if (p.now - sentAt.get(id) >= 250 * MS && ended.add(id)) {
-                    p.end(id, Outcome.OK, 250 * MS);
+                    p.end(id, AttemptOutcome.SUCCESS, 250 * MS);
                 }
             }
         }
@@ -329,15 +337,15 @@
     /** Sends in ten seconds with a request every 400 ms that takes all of them. */
     private static long sentIn(ModuleDriver p) {
         p.run(10 * ModuleDriver.S);
-        long before = p.actions.stream().filter(a -> a instanceof Send).count();
+        long before = p.actions.stream().filter(a -> a instanceof StartAttempt).count();
         for (int i = 0; i < 25; i++) {
             String id = p.arrive(READ);
             p.run(400 * MS);
             if (p.sends(id) > 0) {
-                p.end(id, Outcome.ERROR, 400 * MS);
+                p.end(id, AttemptOutcome.ERROR, 400 * MS);
             }
         }
-        return p.actions.stream().filter(a -> a instanceof Send).count() - before;
+        return p.actions.stream().filter(a -> a instanceof StartAttempt).count() - before;
     }
 
     @Test
@@ -350,7 +358,7 @@
                 p.run(170 * MS);
             }
             long from = p.now;
-            p.feed(new Event.Members(ListKind.DELTA, List.of(ModuleDriver.started("new", from))));
+            p.feed(new Event.EndpointUpdate(UpdateKind.DELTA, List.of(ModuleDriver.started("new", from))));
             for (int i = 0; i < 25; i++) {
                 got += p.serve(READ, 30 * MS).equals("new") ? 1 : 0;
                 p.run(170 * MS);
@@ -368,7 +376,7 @@
         for (var p : List.of(cheap, dear)) {
             String slow = p.arrive(READ);
             p.run(2 * ModuleDriver.S);
-            p.end(slow, Outcome.TIMEOUT, 2 * ModuleDriver.S);
+            p.end(slow, AttemptOutcome.TIMEOUT, 2 * ModuleDriver.S);
         }
         assertThat(cheap.sends(cheap.arrive(READ))).isZero();
         assertThat(dear.sends(dear.arrive(PAY))).isEqualTo(1);
@@ -381,11 +389,11 @@
         for (int rank = 0; rank < 400; rank++) {
             var p = oneOfHundreds(rank);
             p.serve(READ, 20 * MS);
-            String stuckAt = p.lastSend(p.arrive(READ)).backend();
+            String stuckAt = p.lastSend(p.arrive(READ)).endpointId();
             first.merge(stuckAt, 1, Integer::sum);
             p.run(300 * MS);
             second.computeIfAbsent(stuckAt, id -> new java.util.HashSet<>())
-                    .add(p.lastSend(p.arrive(READ)).backend());
+                    .add(p.lastSend(p.arrive(READ)).endpointId());
         }
         assertThat(first)
                 .hasSize(60)
@@ -402,8 +410,8 @@
         p.now += MS;
         String next = p.arrive(READ);
         assertThat(p.sends(next)).isZero();
-        p.end(busy, Outcome.OK, MS);
-        assertThat(p.lastSend(next).backend()).isEqualTo(home);
+        p.end(busy, AttemptOutcome.SUCCESS, MS);
+        assertThat(p.lastSend(next).endpointId()).isEqualTo(home);
     }
 
     @Test
@@ -412,8 +420,8 @@
         p.arrive(READ);
         String held = p.arrive(READ);
         String tooMany = p.arrive(READ);
-        assertThat(p.has(new Action.Refuse(tooMany, 0))).isTrue();
-        assertThat(p.has(new Action.Refuse(held, 0))).isFalse();
+        assertThat(p.has(new Action.Reject(tooMany, 0))).isTrue();
+        assertThat(p.has(new Action.Reject(held, 0))).isFalse();
     }
 
     @Test
@@ -430,7 +438,7 @@
         p.run(230 * MS);
         assertThat(p.sends(next)).isZero();
         p.run(50 * MS);
-        assertThat(p.lastSend(next).backend()).isNotEqualTo(p.lastSend(busy).backend());
+        assertThat(p.lastSend(next).endpointId()).isNotEqualTo(p.lastSend(busy).endpointId());
     }
 
     @Test
@@ -443,9 +451,9 @@
         String slow = p.serve(READ, 20 * MS);
         for (int i = 0; i < 40; i++) {
             String id = p.arrive(READ);
-            long latency = p.lastSend(id).backend().equals(slow) ? 400 * MS : 20 * MS;
+            long latency = p.lastSend(id).endpointId().equals(slow) ? 400 * MS : 20 * MS;
             p.now += latency;
-            p.end(id, Outcome.OK, latency);
+            p.end(id, AttemptOutcome.SUCCESS, latency);
             p.run(200 * MS);
         }
         assertThat(p.serve(READ, 20 * MS)).isNotEqualTo(slow);
@@ -458,19 +466,19 @@
                 .isEqualTo(slow);
     }
 
-    private static long burst(ModuleDriver p, Backend... backends) {
+    private static long burst(ModuleDriver p, Endpoint... backends) {
         p.list(backends);
         for (int i = 0; i < 100; i++) {
             p.arrive(READ);
         }
-        return p.actions.stream().filter(a -> a instanceof Send).count();
+        return p.actions.stream().filter(a -> a instanceof StartAttempt).count();
     }
 
     @Test
     void anAttemptIsCutOffSoonAfterItsAimWhereALateAnswerIsWorthNothing() {
         var p = oneOfHundreds(0);
         String id = p.arrive(READ);
-        assertThat(p.lastSend(id).timeoutUs()).isBetween(READ.aimUs(), READ.deadlineUs() * 2 / 3);
+        assertThat(p.lastSend(id).timeoutUs()).isBetween(READ.latencyObjectiveUs(), READ.deadlineUs() * 2 / 3);
     }
 
     @Test
@@ -490,12 +498,12 @@
                 out.add(p.arrive(READ));
             }
             p.run(100 * MS);
-            out.stream().filter(id -> p.sends(id) > 0).forEach(id -> p.end(id, Outcome.OK, 100 * MS));
+            out.stream().filter(id -> p.sends(id) > 0).forEach(id -> p.end(id, AttemptOutcome.SUCCESS, 100 * MS));
             p.run(together == 1 ? 200 * MS : 0);
         }
         return p.actions.subList(before, p.actions.size()).stream()
-                .filter(a -> a instanceof Send)
-                .map(a -> ((Send) a).backend())
+                .filter(a -> a instanceof StartAttempt)
+                .map(a -> ((StartAttempt) a).endpointId())
                 .distinct()
                 .count();
     }
--- a/src/test/java/beechfall/LedgerTest.java
+++ b/src/test/java/beechfall/LedgerTest.java
@@ -2,16 +2,16 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Action.Cancel;
+import beechfall.Action.CancelAttempt;
 import beechfall.Action.Fail;
-import beechfall.Action.Refuse;
-import beechfall.Action.Send;
+import beechfall.Action.Reject;
 import beechfall.Action.SetTimer;
-import beechfall.Action.Watch;
-import beechfall.Event.Arrival;
+import beechfall.Action.StartAttempt;
+import beechfall.Action.WatchEndpoints;
 import beechfall.Event.AttemptEnded;
-import beechfall.Event.ClientGone;
-import beechfall.Event.Members;
+import beechfall.Event.ClientDisconnected;
+import beechfall.Event.EndpointUpdate;
+import beechfall.Event.RequestArrived;
 import beechfall.Event.TimerFired;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -25,7 +25,8 @@
 
 /** Random legal events, with the rules checked by books of the test's own. */
 class LedgerTest {
-    private static final List<State> STATES = List.of(State.READY, State.DRAINING, State.GONE);
+    private static final List<EndpointState> STATES =
+            List.of(EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE);
 
     private static final long TICK = 4_000;
 
@@ -43,18 +44,20 @@
 
     private static final class Try {
         private final String backend;
-        private final Backend sentTo;
+        private final Endpoint sentTo;
         private final long sentAt;
-        private Outcome outcome;
+        private AttemptOutcome outcome;
 
-        Try(Backend sentTo, long sentAt) {
+        Try(Endpoint sentTo, long sentAt) {
             this.backend = sentTo.id();
             this.sentTo = sentTo;
             this.sentAt = sentAt;
         }
 
-        boolean mayHaveRun(Rules rules) {
-            return outcome == null || !outcome.neverRan() || (outcome == Outcome.FULL && rules.fullUnproven());
+        boolean mayHaveRun(SafetyLimits rules) {
+            return outcome == null
+                    || !outcome.provesNotExecuted()
+                    || (outcome == AttemptOutcome.REJECTED && rules.rejectedMayHaveExecuted());
         }
     }
 
@@ -72,10 +75,10 @@
 
     private static final class Books {
         private final Random random;
-        private final Settings settings;
-        private final Policy policy;
+        private final BalancerSettings settings;
+        private final EarliestDeadlineLoadBalancer policy;
         private final Map<String, Open> requests = new HashMap<>();
-        private final Map<String, Backend> listed = new LinkedHashMap<>();
+        private final Map<String, Endpoint> listed = new LinkedHashMap<>();
         private final Map<String, List<Long>> coldSends = new HashMap<>();
         private final PriorityQueue<Due> due = new PriorityQueue<>(
                 (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
@@ -88,8 +91,8 @@
         Books(long seed) {
             random = new Random(seed);
             var classes = new ArrayList<RequestClass>();
-            for (Effect effect : Effect.values()) {
-                for (Scope scope : Scope.values()) {
+            for (Idempotency effect : Idempotency.values()) {
+                for (DeduplicationScope scope : DeduplicationScope.values()) {
                     classes.add(new RequestClass(
                             effect + "-" + scope,
                             150_000 + random.nextInt(500_000),
@@ -101,7 +104,7 @@
                             100_000 + random.nextInt(1_000_000)));
                 }
             }
-            settings = new Settings(
+            settings = new BalancerSettings(
                     1 + random.nextInt(4),
                     0,
                     "a",
@@ -118,18 +121,18 @@
                             1 + random.nextInt(5),
                             1_000_000,
                             random.nextInt(200_000)),
-                    new Rules(
+                    new SafetyLimits(
                             0.3, 8_000_000, 3, 1_000_000 + random.nextInt(2_000_000), 10_000_000, random.nextBoolean()),
                     seed);
-            policy = new Policy(settings);
+            policy = new EarliestDeadlineLoadBalancer(settings);
         }
 
         void run() {
             for (int i = 0; i < 6; i++) {
-                Backend b = backend("s" + i, State.READY, 0);
+                Endpoint b = backend("s" + i, EndpointState.READY, 0);
                 listed.put(b.id(), b);
             }
-            feed(new Members(ListKind.CACHED, List.copyOf(listed.values())));
+            feed(new EndpointUpdate(UpdateKind.CACHED, List.copyOf(listed.values())));
             long end = now + 20_000_000;
             while (now < end + 5_000_000) {
                 now += TICK;
@@ -151,32 +154,32 @@
         private void happen() {
             int arrivals = random.nextInt(100) < 30 ? random.nextInt(4) : 0;
             for (int i = 0; i < arrivals; i++) {
-                RequestClass type =
-                        settings.classes().get(random.nextInt(settings.classes().size()));
+                RequestClass type = settings.requestClasses()
+                        .get(random.nextInt(settings.requestClasses().size()));
                 long left = (long) (type.deadlineUs() * (0.2 + 0.8 * random.nextDouble()));
                 String id = "q" + arrived++;
                 requests.put(id, new Open(type, now + left));
-                feed(new Arrival(
+                feed(new RequestArrived(
                         id, type.name(), random.nextBoolean() ? "t" : null, null, left, random.nextInt(5) == 0));
             }
             if (random.nextInt(200) == 0) {
                 String id = "s" + random.nextInt(8);
-                State state = STATES.get(random.nextInt(STATES.size()));
-                Backend b = backend(id, state, random.nextInt(3) == 0 ? now - random.nextInt(3_000_000) : 0);
+                EndpointState state = STATES.get(random.nextInt(STATES.size()));
+                Endpoint b = backend(id, state, random.nextInt(3) == 0 ? now - random.nextInt(3_000_000) : 0);
                 listed.put(id, b);
-                feed(new Members(ListKind.DELTA, List.of(b)));
+                feed(new EndpointUpdate(UpdateKind.DELTA, List.of(b)));
             }
             if (random.nextInt(1500) == 0) {
                 listed.clear();
-                feed(new Members(ListKind.FULL, List.of()));
+                feed(new EndpointUpdate(UpdateKind.SNAPSHOT, List.of()));
             }
             if (random.nextInt(300) == 0) {
-                feed(new Members(ListKind.FAILED, List.of()));
+                feed(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
             }
         }
 
-        private Backend backend(String id, State state, long startedAt) {
-            return new Backend(
+        private Endpoint backend(String id, EndpointState state, long startedAt) {
+            return new Endpoint(
                     id,
                     state,
                     "k" + random.nextInt(2),
@@ -188,20 +191,20 @@
 
         private void deliver(Event event) {
             if (event instanceof AttemptEnded e) {
-                Open r = requests.get(e.id());
+                Open r = requests.get(e.requestId());
                 if (r == null || r.tries.get(e.attempt()).outcome != null) {
                     return;
                 }
                 Try t = r.tries.get(e.attempt());
                 t.outcome = e.outcome();
-                boolean closes = e.outcome() == Outcome.OK && !r.over;
+                boolean closes = e.outcome() == AttemptOutcome.SUCCESS && !r.over;
                 if (closes) {
                     r.over = true;
                     finals++;
                 }
-                feed(new AttemptEnded(e.id(), e.attempt(), e.backend(), e.outcome(), e.latencyUs(), r.over));
-            } else if (event instanceof ClientGone e) {
-                Open r = requests.get(e.id());
+                feed(new AttemptEnded(e.requestId(), e.attempt(), e.endpointId(), e.outcome(), e.latencyUs(), r.over));
+            } else if (event instanceof ClientDisconnected e) {
+                Open r = requests.get(e.requestId());
                 if (r != null && !r.over) {
                     r.over = true;
                     finals++;
@@ -214,23 +217,29 @@
 
         private void feed(Event event) {
             policy.handle(now, event, action -> {
-                if (action instanceof Send a) {
+                if (action instanceof StartAttempt a) {
                     sent(a);
-                } else if (action instanceof Refuse a) {
-                    refused(a.id());
+                } else if (action instanceof Reject a) {
+                    refused(a.requestId());
                 } else if (action instanceof Fail a) {
-                    over(a.id());
-                } else if (action instanceof Cancel a) {
-                    assertThat(settings.limits().cancel()).isTrue();
-                    Try t = requests.get(a.id()).tries.get(a.attempt());
+                    over(a.requestId());
+                } else if (action instanceof CancelAttempt a) {
+                    assertThat(settings.limits().cancellation()).isTrue();
+                    Try t = requests.get(a.requestId()).tries.get(a.attempt());
                     due.add(new Due(
                             now + TICK,
                             order++,
-                            new AttemptEnded(a.id(), a.attempt(), t.backend, Outcome.CANCELLED, now - t.sentAt, true)));
+                            new AttemptEnded(
+                                    a.requestId(),
+                                    a.attempt(),
+                                    t.backend,
+                                    AttemptOutcome.CANCELLED,
+                                    now - t.sentAt,
+                                    true)));
                 } else if (action instanceof SetTimer a) {
                     due.add(new Due(Math.max(a.atUs(), now + 1), order++, new TimerFired(a.token())));
-                } else if (action instanceof Watch) {
-                    assertThat(settings.limits().listMustBeAsked()).isTrue();
+                } else if (action instanceof WatchEndpoints) {
+                    assertThat(settings.limits().endpointsArePolled()).isTrue();
                 }
             });
         }
@@ -245,33 +254,34 @@
         private void refused(String id) {
             Open r = requests.get(id);
             for (Try t : r.tries) {
-                if (t.mayHaveRun(settings.rules())) {
-                    assertThat(r.type.effect()).isNotEqualTo(Effect.UNSAFE);
-                    assertThat(r.type.effect() == Effect.SAFE || r.type.scope() == Scope.ALL)
+                if (t.mayHaveRun(settings.safetyLimits())) {
+                    assertThat(r.type.idempotency()).isNotEqualTo(Idempotency.NOT_IDEMPOTENT);
+                    assertThat(r.type.idempotency() == Idempotency.IDEMPOTENT
+                                    || r.type.deduplicationScope() == DeduplicationScope.ALL)
                             .isTrue();
                 }
             }
             over(id);
         }
 
-        private void sent(Send a) {
-            Open r = requests.get(a.id());
-            Backend to = listed.get(a.backend());
+        private void sent(StartAttempt a) {
+            Open r = requests.get(a.requestId());
+            Endpoint to = listed.get(a.endpointId());
             attemptsSent++;
             assertThat(r.over).as("nothing after the final answer").isFalse();
             assertThat(to).as("a backend on the list").isNotNull();
-            assertThat(to.state()).isEqualTo(State.READY);
+            assertThat(to.state()).isEqualTo(EndpointState.READY);
             assertThat(r.tries.size()).isLessThan(settings.limits().maxAttempts());
             assertThat(a.timeoutUs()).isPositive();
             assertThat(now + a.timeoutUs()).isLessThanOrEqualTo(r.deadline);
             for (Try t : r.tries) {
-                assertThat(settings.limits().secondCopies() || t.outcome != null)
-                        .isTrue();
-                if (t.mayHaveRun(settings.rules()) && r.type.effect() != Effect.SAFE) {
-                    assertThat(r.type.effect()).isEqualTo(Effect.KEYED);
-                    assertThat(now + settings.limits().connectTimeoutUs()).isLessThan(t.sentAt + r.type.windowUs());
+                assertThat(settings.limits().hedging() || t.outcome != null).isTrue();
+                if (t.mayHaveRun(settings.safetyLimits()) && r.type.idempotency() != Idempotency.IDEMPOTENT) {
+                    assertThat(r.type.idempotency()).isEqualTo(Idempotency.IDEMPOTENT_WITH_KEY);
+                    assertThat(now + settings.limits().connectTimeoutUs())
+                            .isLessThan(t.sentAt + r.type.deduplicationWindowUs());
                     assertThat(
-                                    switch (r.type.scope()) {
+                                    switch (r.type.deduplicationScope()) {
                                         case ALL -> true;
                                         case ZONE -> t.sentTo.zone().equals(to.zone());
                                         case CELL -> t.sentTo.cell() == to.cell();
@@ -282,32 +292,42 @@
             cold(to);
             r.tries.add(new Try(to, now));
             int attempt = r.tries.size() - 1;
-            Outcome outcome = random.nextInt(10) < 6
-                    ? Outcome.OK
-                    : List.of(Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET)
+            AttemptOutcome outcome = random.nextInt(10) < 6
+                    ? AttemptOutcome.SUCCESS
+                    : List.of(
+                                    AttemptOutcome.ERROR,
+                                    AttemptOutcome.REJECTED,
+                                    AttemptOutcome.TIMEOUT,
+                                    AttemptOutcome.CONNECT_FAILED,
+                                    AttemptOutcome.RESET)
                             .get(random.nextInt(5));
-            long latency = outcome == Outcome.TIMEOUT
+            long latency = outcome == AttemptOutcome.TIMEOUT
                     ? a.timeoutUs()
                     : Math.min(a.timeoutUs() - 1, 1_000 + random.nextInt(60_000));
             due.add(new Due(
-                    now + latency, order++, new AttemptEnded(a.id(), attempt, to.id(), outcome, latency, false)));
+                    now + latency,
+                    order++,
+                    new AttemptEnded(a.requestId(), attempt, to.id(), outcome, latency, false)));
             if (attempt == 0 && random.nextInt(50) == 0) {
-                due.add(new Due(now + random.nextInt(100_000), order++, new ClientGone(a.id())));
+                due.add(new Due(now + random.nextInt(100_000), order++, new ClientDisconnected(a.requestId())));
             }
         }
 
         /** The budget of one instance: answers take over 25 ms in the mean, so a full backend does under 40 a second. */
-        private void cold(Backend to) {
-            Rules rules = settings.rules();
-            if (to.startedAtUs() == 0 || now - to.startedAtUs() >= rules.coldUs()) {
+        private void cold(Endpoint to) {
+            SafetyLimits rules = settings.safetyLimits();
+            if (to.startedAtUs() == 0 || now - to.startedAtUs() >= rules.slowStartUs()) {
                 return;
             }
             List<Long> sends = coldSends.computeIfAbsent(to.id() + "@" + to.startedAtUs(), key -> new ArrayList<>());
             sends.add(now);
-            long inWindow =
-                    sends.stream().filter(at -> at > now - rules.fallUs()).count();
-            double share = rules.coldFrom() + (1 - rules.coldFrom()) * (now - to.startedAtUs()) / rules.coldUs();
-            double most = rules.fallMultiple() * share * 40 * rules.fallUs() / 1e6 / settings.balancers();
+            long inWindow = sends.stream()
+                    .filter(at -> at > now - rules.overloadWindowUs())
+                    .count();
+            double share = rules.initialCapacity()
+                    + (1 - rules.initialCapacity()) * (now - to.startedAtUs()) / rules.slowStartUs();
+            double most =
+                    rules.overloadMultiple() * share * 40 * rules.overloadWindowUs() / 1e6 / settings.proxyCount();
             assertThat((double) inWindow).as("cold budget").isLessThanOrEqualTo(Math.max(2, most));
         }
     }
--- a/src/test/java/beechfall/ModuleDriver.java
+++ b/src/test/java/beechfall/ModuleDriver.java
@@ -1,10 +1,10 @@
 package beechfall;
 
-import beechfall.Action.Send;
 import beechfall.Action.SetTimer;
-import beechfall.Event.Arrival;
+import beechfall.Action.StartAttempt;
 import beechfall.Event.AttemptEnded;
-import beechfall.Event.Members;
+import beechfall.Event.EndpointUpdate;
+import beechfall.Event.RequestArrived;
 import beechfall.Event.TimerFired;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -18,35 +18,39 @@
     static final long MS = 1_000;
     static final long S = 1_000_000;
 
-    static final RequestClass READ = new RequestClass("read", 600 * MS, 2 * S, 1, 0, Effect.SAFE, Scope.ALL, 0);
-    static final RequestClass PAY =
-            new RequestClass("pay", 400 * MS, 2 * S, 10, 0, Effect.KEYED, Scope.ZONE, 1200 * MS);
-    static final RequestClass BOOK = new RequestClass("book", 600 * MS, 2 * S, 2, 0, Effect.KEYED, Scope.CELL, 12 * S);
-    static final RequestClass NOTE = new RequestClass("note", 600 * MS, 2 * S, 2, 0, Effect.KEYED, Scope.ALL, 12 * S);
-    static final RequestClass VOTE = new RequestClass("vote", 600 * MS, 2 * S, 3, 0, Effect.UNSAFE, Scope.ALL, 0);
+    static final RequestClass READ =
+            new RequestClass("read", 600 * MS, 2 * S, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0);
+    static final RequestClass PAY = new RequestClass(
+            "pay", 400 * MS, 2 * S, 10, 0, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE, 1200 * MS);
+    static final RequestClass BOOK = new RequestClass(
+            "book", 600 * MS, 2 * S, 2, 0, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL, 12 * S);
+    static final RequestClass NOTE = new RequestClass(
+            "note", 600 * MS, 2 * S, 2, 0, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ALL, 12 * S);
+    static final RequestClass VOTE =
+            new RequestClass("vote", 600 * MS, 2 * S, 3, 0, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0);
 
     /** No hints when to come back: a refusal then equals any other. */
     static final Limits LIMITS = new Limits(true, false, false, false, 4, 0, 0);
 
-    static final Rules RULES = new Rules(0.4, 8 * S, 4, S, 10 * S, false);
+    static final SafetyLimits RULES = new SafetyLimits(0.4, 8 * S, 4, S, 10 * S, false);
 
-    final Policy policy;
+    final EarliestDeadlineLoadBalancer policy;
     final List<Action> actions = new ArrayList<>();
     long now = 1000 * S;
     private final Map<String, Integer> attempts = new HashMap<>();
     private final Set<SetTimer> fired = new HashSet<>();
     private int nextId;
 
-    ModuleDriver(Settings settings) {
-        policy = new Policy(settings);
+    ModuleDriver(BalancerSettings settings) {
+        policy = new EarliestDeadlineLoadBalancer(settings);
     }
 
     ModuleDriver() {
         this(settings(LIMITS, RULES));
     }
 
-    static Settings settings(Limits limits, Rules rules, Tenant... tenants) {
-        return new Settings(
+    static BalancerSettings settings(Limits limits, SafetyLimits rules, Tenant... tenants) {
+        return new BalancerSettings(
                 1,
                 0,
                 "a",
@@ -60,20 +64,20 @@
                 7);
     }
 
-    static Backend backend(String id, String kind, String zone, int cell) {
-        return new Backend(id, State.READY, kind, zone, cell, 0, 1);
+    static Endpoint backend(String id, String kind, String zone, int cell) {
+        return new Endpoint(id, EndpointState.READY, kind, zone, cell, 0, 1);
     }
 
-    static Backend backend(String id) {
+    static Endpoint backend(String id) {
         return backend(id, "std", "a", 1);
     }
 
-    static Backend started(String id, long at) {
-        return new Backend(id, State.READY, "std", "a", 1, at, 1);
+    static Endpoint started(String id, long at) {
+        return new Endpoint(id, EndpointState.READY, "std", "a", 1, at, 1);
     }
 
-    static Backend in(State state, String id) {
-        return new Backend(id, state, "std", "a", 1, 0, 1);
+    static Endpoint in(EndpointState state, String id) {
+        return new Endpoint(id, state, "std", "a", 1, 0, 1);
     }
 
     /** Feeds an event and returns what the module asked for because of it. */
@@ -81,15 +85,15 @@
         int before = actions.size();
         policy.handle(now, event, action -> {
             actions.add(action);
-            if (action instanceof Send s) {
-                attempts.merge(s.id(), 1, Integer::sum);
+            if (action instanceof StartAttempt s) {
+                attempts.merge(s.requestId(), 1, Integer::sum);
             }
         });
         return List.copyOf(actions.subList(before, actions.size()));
     }
 
-    void list(Backend... backends) {
-        feed(new Members(ListKind.FULL, List.of(backends)));
+    void list(Endpoint... backends) {
+        feed(new EndpointUpdate(UpdateKind.SNAPSHOT, List.of(backends)));
     }
 
     /** A request arrives; returns its id. */
@@ -99,15 +103,15 @@
 
     String arrive(RequestClass type, String tenant) {
         String id = "r" + nextId++;
-        feed(new Arrival(id, type.name(), tenant, null, type.deadlineUs(), false));
+        feed(new RequestArrived(id, type.name(), tenant, null, type.deadlineUs(), false));
         return id;
     }
 
     /** The latest attempt of a request ends. */
-    List<Action> end(String id, Outcome outcome, long latencyUs) {
-        Send send = lastSend(id);
-        return feed(
-                new AttemptEnded(id, attempts.get(id) - 1, send.backend(), outcome, latencyUs, outcome == Outcome.OK));
+    List<Action> end(String id, AttemptOutcome outcome, long latencyUs) {
+        StartAttempt send = lastSend(id);
+        return feed(new AttemptEnded(
+                id, attempts.get(id) - 1, send.endpointId(), outcome, latencyUs, outcome == AttemptOutcome.SUCCESS));
     }
 
     List<Action> timer(String token) {
@@ -132,10 +136,10 @@
         }
     }
 
-    Send lastSend(String id) {
-        Send last = null;
+    StartAttempt lastSend(String id) {
+        StartAttempt last = null;
         for (Action action : actions) {
-            if (action instanceof Send s && s.id().equals(id)) {
+            if (action instanceof StartAttempt s && s.requestId().equals(id)) {
                 last = s;
             }
         }
@@ -150,8 +154,8 @@
     String serve(RequestClass type, long latencyUs) {
         String id = arrive(type);
         now += latencyUs;
-        end(id, Outcome.OK, latencyUs);
-        return lastSend(id).backend();
+        end(id, AttemptOutcome.SUCCESS, latencyUs);
+        return lastSend(id).endpointId();
     }
 
     boolean has(Action action) {
--- a/src/test/java/beechfall/PickTest.java
+++ b/src/test/java/beechfall/PickTest.java
@@ -23,13 +23,13 @@
     @Test
     void worksThePapersTwoEndpointExample() {
         proxy.list(
-                new Backend("d1", State.READY, "one", "a", 1, 0, 1),
-                new Backend("d2", State.READY, "two", "a", 1, 0, 2));
+                new Endpoint("d1", EndpointState.READY, "one", "a", 1, 0, 1),
+                new Endpoint("d2", EndpointState.READY, "two", "a", 1, 0, 2));
         var order = new ArrayList<String>();
         for (int i = 0; i < 3; i++) {
             String id = proxy.arrive(READ);
-            order.add(proxy.lastSend(id).backend());
-            proxy.end(id, Outcome.OK, MS);
+            order.add(proxy.lastSend(id).endpointId());
+            proxy.end(id, AttemptOutcome.SUCCESS, MS);
         }
         // Deadlines 1/1 and 1/2: d2; then 1/1 and 2/2, a tie that the first listed takes; then 2/1 and 2/2: d2.
         assertThat(order).containsExactly("d2", "d1", "d2");
@@ -50,10 +50,10 @@
 
     private String serveAtSpeed() {
         String id = proxy.arrive(READ);
-        long latency = proxy.lastSend(id).backend().equals("fast") ? 10 * MS : 20 * MS;
+        long latency = proxy.lastSend(id).endpointId().equals("fast") ? 10 * MS : 20 * MS;
         proxy.now += latency;
-        proxy.end(id, Outcome.OK, latency);
-        return proxy.lastSend(id).backend();
+        proxy.end(id, AttemptOutcome.SUCCESS, latency);
+        return proxy.lastSend(id).endpointId();
     }
 
     @Test
@@ -86,11 +86,11 @@
             reads.merge(proxy.serve(READ, 10 * MS), 1, Integer::sum);
             String id = proxy.arrive(ModuleDriver.VOTE);
             proxy.now += 10 * MS;
-            boolean ill = proxy.lastSend(id).backend().equals("a");
+            boolean ill = proxy.lastSend(id).endpointId().equals("a");
             failed += ill ? 1 : 0;
-            proxy.end(id, ill ? Outcome.ERROR : Outcome.OK, 10 * MS);
+            proxy.end(id, ill ? AttemptOutcome.ERROR : AttemptOutcome.SUCCESS, 10 * MS);
             if (ill) {
-                proxy.end(id, Outcome.OK, 10 * MS);
+                proxy.end(id, AttemptOutcome.SUCCESS, 10 * MS);
             }
         }
         // Six seconds: put off for 1.2, 2.4 and 4.8 of them.
@@ -101,7 +101,7 @@
     /** Where connections break now and then, whoever holds them, the backends that answer a class still get it all. */
     @Test
     void strayResetsDoNotSendAClassBackToWhereItFails() {
-        proxy.list(IntStream.range(0, 10).mapToObj(i -> backend("b" + i)).toArray(Backend[]::new));
+        proxy.list(IntStream.range(0, 10).mapToObj(i -> backend("b" + i)).toArray(Endpoint[]::new));
         var chance = new Random(1);
         var out = new ArrayDeque<String>();
         int failed = 0;
@@ -112,9 +112,14 @@
             if (id == null || proxy.lastSend(id) == null) {
                 continue;
             }
-            boolean ill = proxy.lastSend(id).backend().compareTo("b4") >= 0 && chance.nextInt(10) < 7;
+            boolean ill = proxy.lastSend(id).endpointId().compareTo("b4") >= 0 && chance.nextInt(10) < 7;
             failed += ill ? 1 : 0;
-            proxy.end(id, chance.nextInt(14) == 0 ? Outcome.RESET : ill ? Outcome.ERROR : Outcome.OK, 20 * MS);
+            proxy.end(
+                    id,
+                    chance.nextInt(14) == 0
+                            ? AttemptOutcome.RESET
+                            : ill ? AttemptOutcome.ERROR : AttemptOutcome.SUCCESS,
+                    20 * MS);
         }
         // Ten seconds: some to see it at each of the six, and some after each pause of 1.2, 2.4 and 4.8 s.
         assertThat(failed).isLessThan(150);
@@ -127,12 +132,12 @@
         Map<String, Integer> last = new HashMap<>();
         for (int i = 0; i < 600; i++) {
             String id = proxy.arrive(READ);
-            last.put(proxy.lastSend(id).backend(), i);
+            last.put(proxy.lastSend(id).endpointId(), i);
             proxy.now += 10 * MS;
             if (i % 20 == 19) {
-                proxy.end(id, Outcome.ERROR, 10 * MS);
+                proxy.end(id, AttemptOutcome.ERROR, 10 * MS);
             }
-            proxy.end(id, Outcome.OK, 10 * MS);
+            proxy.end(id, AttemptOutcome.SUCCESS, 10 * MS);
             if (i > 300) {
                 int now = i;
                 assertThat(last)
@@ -149,7 +154,7 @@
             String id = proxy.arrive(ModuleDriver.VOTE);
             assertThat(proxy.sends(id)).isEqualTo(1);
             proxy.now += 10 * MS;
-            proxy.end(id, Outcome.ERROR, 10 * MS);
+            proxy.end(id, AttemptOutcome.ERROR, 10 * MS);
         }
     }
 
@@ -159,11 +164,11 @@
         Map<String, Integer> turns = new HashMap<>();
         for (int i = 0; i < 600; i++) {
             String id = proxy.arrive(READ);
-            String to = proxy.lastSend(id).backend();
+            String to = proxy.lastSend(id).endpointId();
             turns.merge(to, 1, Integer::sum);
             long latency = to.equals("lame") ? 200 * MS : 20 * MS;
             proxy.now += latency;
-            proxy.end(id, Outcome.OK, latency);
+            proxy.end(id, AttemptOutcome.SUCCESS, latency);
         }
         assertThat(turns.get("lame")).isLessThan(turns.get("a") / 2);
     }
@@ -174,11 +179,11 @@
         int stuck = 0;
         for (int i = 0; i < 50; i++) {
             String id = proxy.arrive(READ);
-            if (proxy.lastSend(id).backend().equals("hung")) {
+            if (proxy.lastSend(id).endpointId().equals("hung")) {
                 stuck++;
             } else {
                 proxy.now += 10 * MS;
-                proxy.end(id, Outcome.OK, 10 * MS);
+                proxy.end(id, AttemptOutcome.SUCCESS, 10 * MS);
             }
         }
         assertThat(stuck).isEqualTo(1);
@@ -186,24 +191,24 @@
 
     @Test
     void aKeyGoesWhereAllProxiesKeepItWarmWhileThatBackendHasRoom() {
-        var backends = new Backend[] {backend("a"), backend("b"), backend("c"), backend("d")};
+        var backends = new Endpoint[] {backend("a"), backend("b"), backend("c"), backend("d")};
         var homes = new HashMap<String, String>();
         for (long seed = 1; seed <= 3; seed++) {
-            var p = new ModuleDriver(new Settings(
+            var p = new ModuleDriver(new BalancerSettings(
                     3, 0, "a", MS, List.of(READ), List.of(), 1, true, ModuleDriver.LIMITS, ModuleDriver.RULES, seed));
             p.list(backends);
             for (int i = 0; i < 40; i++) {
                 String key = "key" + i;
-                p.feed(new Event.Arrival("k" + i, "read", null, key, 2 * S, false));
-                String to = p.lastSend("k" + i).backend();
+                p.feed(new Event.RequestArrived("k" + i, "read", null, key, 2 * S, false));
+                String to = p.lastSend("k" + i).endpointId();
                 assertThat(homes.putIfAbsent(key, to)).isIn(null, to);
                 if (i % 4 != 0) {
-                    p.end("k" + i, Outcome.OK, MS);
+                    p.end("k" + i, AttemptOutcome.SUCCESS, MS);
                 } else {
-                    p.feed(new Event.Arrival("again" + i, "read", null, key, 2 * S, false));
-                    assertThat(p.lastSend("again" + i).backend()).isNotEqualTo(to);
-                    p.end("again" + i, Outcome.OK, MS);
-                    p.end("k" + i, Outcome.OK, MS);
+                    p.feed(new Event.RequestArrived("again" + i, "read", null, key, 2 * S, false));
+                    assertThat(p.lastSend("again" + i).endpointId()).isNotEqualTo(to);
+                    p.end("again" + i, AttemptOutcome.SUCCESS, MS);
+                    p.end("k" + i, AttemptOutcome.SUCCESS, MS);
                 }
             }
         }
@@ -223,7 +228,8 @@
         String third = proxy.arrive(READ);
         String fourth = proxy.arrive(READ);
         assertThat(List.of(
-                        proxy.lastSend(third).backend(), proxy.lastSend(fourth).backend()))
+                        proxy.lastSend(third).endpointId(),
+                        proxy.lastSend(fourth).endpointId()))
                 .contains("far");
     }
 
@@ -247,11 +253,11 @@
         for (int i = 0; i < 600; i++) {
             String id = p.arrive(READ);
             p.now += 10 * MS;
-            if (p.lastSend(id).backend().equals("lost")) {
+            if (p.lastSend(id).endpointId().equals("lost")) {
                 tried++;
-                p.end(id, Outcome.CONNECT_FAILED, 10 * MS);
+                p.end(id, AttemptOutcome.CONNECT_FAILED, 10 * MS);
             }
-            p.end(id, Outcome.OK, 10 * MS);
+            p.end(id, AttemptOutcome.SUCCESS, 10 * MS);
         }
         // Six seconds: put off for 1.2, 2.4 and 4.8 of them.
         assertThat(tried).isBetween(2, 3);
@@ -265,7 +271,7 @@
             String id = p.arrive(VOTE);
             assertThat(p.sends(id)).isPositive();
             for (int attempt = 0; attempt < 4; attempt++) {
-                p.end(id, Outcome.CONNECT_FAILED, 10 * MS);
+                p.end(id, AttemptOutcome.CONNECT_FAILED, 10 * MS);
             }
             p.now += 10 * MS;
         }
@@ -279,10 +285,10 @@
         for (int i = 0; i < 4000; i++) {
             String id = p.arrive(READ);
             p.now += 10 * MS;
-            if (p.lastSend(id).backend().equals("errs") && toErring++ % 4 == 0) {
-                p.end(id, Outcome.ERROR, 10 * MS);
+            if (p.lastSend(id).endpointId().equals("errs") && toErring++ % 4 == 0) {
+                p.end(id, AttemptOutcome.ERROR, 10 * MS);
             }
-            p.end(id, Outcome.OK, 10 * MS);
+            p.end(id, AttemptOutcome.SUCCESS, 10 * MS);
         }
         // Put off for the longest time after every error, it would get 17; all the others take 980 or more.
         assertThat(toErring).isBetween(30, 400);
--- a/src/test/java/beechfall/RulesTest.java
+++ b/src/test/java/beechfall/RulesTest.java
@@ -12,15 +12,15 @@
 import static beechfall.ModuleDriver.backend;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Action.Cancel;
+import beechfall.Action.CancelAttempt;
+import beechfall.Action.CloseIdleConnections;
 import beechfall.Action.Fail;
-import beechfall.Action.Refuse;
-import beechfall.Action.Release;
-import beechfall.Action.Send;
+import beechfall.Action.Reject;
 import beechfall.Action.SetTimer;
-import beechfall.Action.Watch;
-import beechfall.Event.ClientGone;
-import beechfall.Event.Members;
+import beechfall.Action.StartAttempt;
+import beechfall.Action.WatchEndpoints;
+import beechfall.Event.ClientDisconnected;
+import beechfall.Event.EndpointUpdate;
 import beechfall.Event.StreamStarted;
 import java.util.ArrayList;
 import java.util.List;
@@ -44,15 +44,15 @@
             }
             SetTimer timer = (SetTimer) proxy.actions.get(proxy.actions.size() - 1);
             assertThat(timer.atUs()).isBetween(proxy.now + 1, proxy.now + READ.deadlineUs() - 1);
-            proxy.run(READ.aimUs());
-            assertThat(proxy.actions).containsOnlyOnce(new Refuse(held, 0));
+            proxy.run(READ.latencyObjectiveUs());
+            assertThat(proxy.actions).containsOnlyOnce(new Reject(held, 0));
         }
 
         @Test
         void withNoBackendAtAllTheAnswerComesAtOnce() {
             proxy.list();
             String id = proxy.arrive(READ);
-            assertThat(proxy.has(new Refuse(id, 0))).isTrue();
+            assertThat(proxy.has(new Reject(id, 0))).isTrue();
         }
 
         @Test
@@ -60,8 +60,8 @@
             proxy.list(backend("a"));
             String id = proxy.arrive(READ);
             proxy.now += READ.deadlineUs();
-            assertThat(proxy.end(id, Outcome.TIMEOUT, READ.deadlineUs())).containsExactly(new Refuse(id, 0));
-            assertThat(proxy.feed(new ClientGone(id))).isEmpty();
+            assertThat(proxy.end(id, AttemptOutcome.TIMEOUT, READ.deadlineUs())).containsExactly(new Reject(id, 0));
+            assertThat(proxy.feed(new ClientDisconnected(id))).isEmpty();
         }
 
         @Test
@@ -75,8 +75,8 @@
         void nothingIsSentForARequestThatIsOver() {
             proxy.list(backend("a"), backend("b"));
             String id = proxy.arrive(READ);
-            assertThat(proxy.feed(new ClientGone(id))).containsExactly(new Cancel(id, 0));
-            assertThat(proxy.end(id, Outcome.CANCELLED, MS)).isEmpty();
+            assertThat(proxy.feed(new ClientDisconnected(id))).containsExactly(new CancelAttempt(id, 0));
+            assertThat(proxy.end(id, AttemptOutcome.CANCELLED, MS)).isEmpty();
         }
 
         @Test
@@ -84,17 +84,18 @@
             var p = new ModuleDriver(ModuleDriver.settings(new Limits(false, false, false, false, 4, 0, 0), RULES));
             p.list(backend("a"));
             String id = p.arrive(READ);
-            assertThat(p.feed(new ClientGone(id))).isEmpty();
+            assertThat(p.feed(new ClientDisconnected(id))).isEmpty();
         }
 
         @Test
         void eventsForWhatIsNotHeldArePassedOver() {
             proxy.list(backend("a"));
-            assertThat(proxy.feed(new ClientGone("nobody"))).isEmpty();
-            assertThat(proxy.feed(new Event.AttemptEnded("nobody", 0, "a", Outcome.OK, MS, true)))
+            assertThat(proxy.feed(new ClientDisconnected("nobody"))).isEmpty();
+            assertThat(proxy.feed(new Event.AttemptEnded("nobody", 0, "a", AttemptOutcome.SUCCESS, MS, true)))
                     .isEmpty();
             assertThat(proxy.feed(new StreamStarted("nobody", 0))).isEmpty();
-            assertThat(proxy.feed(new Event.ProbeEnded("gone", Outcome.OK, MS))).isEmpty();
+            assertThat(proxy.feed(new Event.HealthCheckEnded("gone", AttemptOutcome.SUCCESS, MS)))
+                    .isEmpty();
         }
 
         @Test
@@ -102,7 +103,7 @@
             proxy.list(backend("a"), backend("b"));
             String id = proxy.arrive(READ);
             proxy.feed(new StreamStarted(id, 0));
-            assertThat(proxy.feed(new Event.AttemptEnded(id, 0, "a", Outcome.RESET, 3 * S, true)))
+            assertThat(proxy.feed(new Event.AttemptEnded(id, 0, "a", AttemptOutcome.RESET, 3 * S, true)))
                     .isEmpty();
         }
     }
@@ -113,17 +114,17 @@
         void anUnsafeRequestThatMayHaveRunFails() {
             proxy.list(backend("a"), backend("b"));
             String id = proxy.arrive(VOTE);
-            assertThat(proxy.end(id, Outcome.RESET, MS)).containsExactly(new Fail(id));
+            assertThat(proxy.end(id, AttemptOutcome.RESET, MS)).containsExactly(new Fail(id));
         }
 
         @Test
         void anUnsafeRequestThatNeverRanIsSentAgain() {
             proxy.list(backend("a"), backend("b"));
             String id = proxy.arrive(VOTE);
-            String first = proxy.lastSend(id).backend();
-            proxy.end(id, Outcome.CONNECT_FAILED, MS);
+            String first = proxy.lastSend(id).endpointId();
+            proxy.end(id, AttemptOutcome.CONNECT_FAILED, MS);
             assertThat(proxy.sends(id)).isEqualTo(2);
-            assertThat(proxy.lastSend(id).backend()).isNotEqualTo(first);
+            assertThat(proxy.lastSend(id).endpointId()).isNotEqualTo(first);
         }
 
         @Test
@@ -131,7 +132,7 @@
             proxy.list(backend("a"));
             String id = proxy.arrive(VOTE);
             proxy.now += 700 * MS;
-            assertThat(proxy.end(id, Outcome.FULL, MS)).containsExactly(new Refuse(id, 0));
+            assertThat(proxy.end(id, AttemptOutcome.REJECTED, MS)).containsExactly(new Reject(id, 0));
         }
 
         @Test
@@ -143,11 +144,11 @@
                     backend("a2", "std", "a", 4));
             for (int i = 0; i < 8; i++) {
                 String id = proxy.arrive(PAY);
-                String first = proxy.lastSend(id).backend();
-                proxy.end(id, Outcome.RESET, MS);
+                String first = proxy.lastSend(id).endpointId();
+                proxy.end(id, AttemptOutcome.RESET, MS);
                 assertThat(proxy.sends(id)).isEqualTo(2);
-                assertThat(proxy.lastSend(id).backend().charAt(0)).isEqualTo(first.charAt(0));
-                proxy.end(id, Outcome.OK, MS);
+                assertThat(proxy.lastSend(id).endpointId().charAt(0)).isEqualTo(first.charAt(0));
+                proxy.end(id, AttemptOutcome.SUCCESS, MS);
             }
         }
 
@@ -155,10 +156,10 @@
         void aKeyedRequestThatMayHaveRunStaysInItsCell() {
             proxy.list(backend("a", "std", "a", 1), backend("b", "std", "a", 2));
             String id = proxy.arrive(BOOK);
-            String first = proxy.lastSend(id).backend();
-            proxy.end(id, Outcome.RESET, MS);
+            String first = proxy.lastSend(id).endpointId();
+            proxy.end(id, AttemptOutcome.RESET, MS);
             if (proxy.sends(id) > 1) {
-                assertThat(proxy.lastSend(id).backend()).isEqualTo(first);
+                assertThat(proxy.lastSend(id).endpointId()).isEqualTo(first);
             } else {
                 assertThat(proxy.has(new Fail(id))).isTrue();
             }
@@ -166,13 +167,14 @@
 
         @Test
         void aKeyedRequestIsNotSentAgainPastItsWindow() {
-            var shortWindow = new RequestClass("pay", 600 * MS, 2 * S, 10, 0, Effect.KEYED, Scope.ZONE, 100 * MS);
+            var shortWindow = new RequestClass(
+                    "pay", 600 * MS, 2 * S, 10, 0, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE, 100 * MS);
             var p = new ModuleDriver(
-                    new Settings(1, 0, "a", MS, List.of(shortWindow), List.of(), 1, false, LIMITS, RULES, 1));
+                    new BalancerSettings(1, 0, "a", MS, List.of(shortWindow), List.of(), 1, false, LIMITS, RULES, 1));
             p.list(backend("a"), backend("b"));
             String id = p.arrive(shortWindow);
             p.now += 100 * MS;
-            assertThat(p.end(id, Outcome.RESET, 100 * MS)).contains(new Fail(id));
+            assertThat(p.end(id, AttemptOutcome.RESET, 100 * MS)).contains(new Fail(id));
             assertThat(p.sends(id)).isEqualTo(1);
         }
 
@@ -180,8 +182,9 @@
         @Test
         void aKeyedRequestIsNotSentAgainWhereItMayBeginPastItsWindow() {
             long connectUs = 200 * MS;
-            var shortWindow = new RequestClass("pay", 600 * MS, 2 * S, 10, 0, Effect.KEYED, Scope.ZONE, 400 * MS);
-            var p = new ModuleDriver(new Settings(
+            var shortWindow = new RequestClass(
+                    "pay", 600 * MS, 2 * S, 10, 0, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE, 400 * MS);
+            var p = new ModuleDriver(new BalancerSettings(
                     1,
                     0,
                     "a",
@@ -196,11 +199,11 @@
             p.list(backend("a"), backend("b"), backend("c"));
             String late = p.arrive(shortWindow);
             String soon = p.arrive(shortWindow);
-            p.now += shortWindow.windowUs() - connectUs - 1;
-            p.end(soon, Outcome.RESET, 0);
+            p.now += shortWindow.deduplicationWindowUs() - connectUs - 1;
+            p.end(soon, AttemptOutcome.RESET, 0);
             assertThat(p.sends(soon)).isEqualTo(2);
             p.now += 1;
-            assertThat(p.end(late, Outcome.RESET, 0)).contains(new Fail(late));
+            assertThat(p.end(late, AttemptOutcome.RESET, 0)).contains(new Fail(late));
             assertThat(p.sends(late)).isEqualTo(1);
         }
 
@@ -209,7 +212,7 @@
             proxy.list(backend("a"));
             String id = proxy.arrive(PAY);
             proxy.now += PAY.deadlineUs();
-            assertThat(proxy.end(id, Outcome.TIMEOUT, PAY.deadlineUs())).containsExactly(new Fail(id));
+            assertThat(proxy.end(id, AttemptOutcome.TIMEOUT, PAY.deadlineUs())).containsExactly(new Fail(id));
         }
 
         @Test
@@ -217,7 +220,7 @@
             proxy.list(backend("a"));
             String id = proxy.arrive(NOTE);
             proxy.now += NOTE.deadlineUs();
-            assertThat(proxy.end(id, Outcome.TIMEOUT, NOTE.deadlineUs())).containsExactly(new Refuse(id, 0));
+            assertThat(proxy.end(id, AttemptOutcome.TIMEOUT, NOTE.deadlineUs())).containsExactly(new Reject(id, 0));
         }
 
         @Test
@@ -225,48 +228,48 @@
             proxy.list(backend("a"), backend("b"), backend("c"), backend("d"), backend("e"), backend("f"));
             String id = proxy.arrive(READ);
             for (int i = 1; i < LIMITS.maxAttempts(); i++) {
-                proxy.end(id, Outcome.FULL, MS);
+                proxy.end(id, AttemptOutcome.REJECTED, MS);
                 assertThat(proxy.sends(id)).isEqualTo(i + 1);
             }
-            assertThat(proxy.end(id, Outcome.FULL, MS)).containsExactly(new Refuse(id, 0));
+            assertThat(proxy.end(id, AttemptOutcome.REJECTED, MS)).containsExactly(new Reject(id, 0));
         }
     }
 
     @Nested
     class FullIsNoProofWhereTheRulesSaySo {
         private final ModuleDriver doubting =
-                new ModuleDriver(ModuleDriver.settings(LIMITS, new Rules(0.4, 8 * S, 4, S, 10 * S, true)));
+                new ModuleDriver(ModuleDriver.settings(LIMITS, new SafetyLimits(0.4, 8 * S, 4, S, 10 * S, true)));
 
         @Test
         void anUnsafeRequestIsNeitherSentAgainNorRefused() {
             doubting.list(backend("a"), backend("b"));
             String id = doubting.arrive(VOTE);
-            assertThat(doubting.end(id, Outcome.FULL, MS)).containsExactly(new Fail(id));
+            assertThat(doubting.end(id, AttemptOutcome.REJECTED, MS)).containsExactly(new Fail(id));
         }
 
         @Test
         void aKeyedRequestIsSentAgainWithinItsGroup() {
             doubting.list(backend("a", "std", "a", 1), backend("b", "std", "b", 2), backend("c", "std", "a", 3));
             String id = doubting.arrive(PAY);
-            doubting.end(id, Outcome.FULL, MS);
+            doubting.end(id, AttemptOutcome.REJECTED, MS);
             assertThat(doubting.sends(id)).isEqualTo(2);
-            assertThat(doubting.lastSend(id).backend()).isIn("a", "c");
+            assertThat(doubting.lastSend(id).endpointId()).isIn("a", "c");
         }
 
         @Test
         void aKeyedRequestIsFailedWhenItsGroupCannotTakeIt() {
             doubting.list(backend("a"));
             String id = doubting.arrive(PAY);
-            doubting.now += PAY.windowUs();
-            assertThat(doubting.end(id, Outcome.FULL, MS)).containsExactly(new Fail(id));
+            doubting.now += PAY.deduplicationWindowUs();
+            assertThat(doubting.end(id, AttemptOutcome.REJECTED, MS)).containsExactly(new Fail(id));
         }
 
         @Test
         void aKeyedRequestOfAllBackendsIsRefusedAllTheSame() {
             doubting.list(backend("a"));
             String id = doubting.arrive(NOTE);
-            doubting.now += NOTE.aimUs();
-            assertThat(doubting.end(id, Outcome.FULL, MS)).containsExactly(new Refuse(id, 0));
+            doubting.now += NOTE.latencyObjectiveUs();
+            assertThat(doubting.end(id, AttemptOutcome.REJECTED, MS)).containsExactly(new Reject(id, 0));
         }
     }
 
@@ -276,19 +279,20 @@
         void idleOnesAtTheNoticeAndTheLastOnceItsAttemptHasEnded() {
             proxy.list(backend("a"));
             String id = proxy.arrive(VOTE);
-            assertThat(proxy.feed(new Members(ListKind.DELTA, List.of(ModuleDriver.in(State.DRAINING, "a")))))
-                    .containsExactly(new Release("a"));
-            assertThat(proxy.end(id, Outcome.OK, MS)).containsExactly(new Release("a"));
+            assertThat(proxy.feed(new EndpointUpdate(
+                            UpdateKind.DELTA, List.of(ModuleDriver.in(EndpointState.DRAINING, "a")))))
+                    .containsExactly(new CloseIdleConnections("a"));
+            assertThat(proxy.end(id, AttemptOutcome.SUCCESS, MS)).containsExactly(new CloseIdleConnections("a"));
         }
 
         @Test
         void alsoForAnAttemptThatWasCalledOff() {
             proxy.list(backend("a"), backend("b"));
             String id = proxy.arrive(READ);
-            String to = proxy.lastSend(id).backend();
-            proxy.feed(new ClientGone(id));
-            proxy.feed(new Members(ListKind.DELTA, List.of(ModuleDriver.in(State.DRAINING, to))));
-            assertThat(proxy.end(id, Outcome.CANCELLED, MS)).containsExactly(new Release(to));
+            String to = proxy.lastSend(id).endpointId();
+            proxy.feed(new ClientDisconnected(id));
+            proxy.feed(new EndpointUpdate(UpdateKind.DELTA, List.of(ModuleDriver.in(EndpointState.DRAINING, to))));
+            assertThat(proxy.end(id, AttemptOutcome.CANCELLED, MS)).containsExactly(new CloseIdleConnections(to));
         }
 
         @Test
@@ -296,7 +300,7 @@
             proxy.list(backend("a"), backend("b"));
             proxy.actions.clear();
             proxy.list(backend("b"));
-            assertThat(proxy.actions).containsExactly(new Release("a"));
+            assertThat(proxy.actions).containsExactly(new CloseIdleConnections("a"));
         }
     }
 
@@ -305,8 +309,9 @@
         @Test
         void aDrainingOrLostBackendGetsNothingNew() {
             proxy.list(backend("a"), backend("b"), backend("c"));
-            proxy.feed(new Members(
-                    ListKind.DELTA, List.of(ModuleDriver.in(State.DRAINING, "a"), ModuleDriver.in(State.GONE, "b"))));
+            proxy.feed(new EndpointUpdate(
+                    UpdateKind.DELTA,
+                    List.of(ModuleDriver.in(EndpointState.DRAINING, "a"), ModuleDriver.in(EndpointState.GONE, "b"))));
             for (int i = 0; i < 10; i++) {
                 assertThat(proxy.serve(READ, MS)).isEqualTo("c");
             }
@@ -324,22 +329,23 @@
         @Test
         void aListWhereAllDrainLeavesNothingToSendTo() {
             proxy.list(backend("a"));
-            proxy.list(ModuleDriver.in(State.DRAINING, "a"));
+            proxy.list(ModuleDriver.in(EndpointState.DRAINING, "a"));
             String id = proxy.arrive(READ);
             assertThat(proxy.sends(id)).isZero();
         }
 
         @Test
         void aDrainedBackendMayComeBack() {
-            proxy.list(ModuleDriver.in(State.DRAINING, "a"));
-            proxy.feed(new Members(ListKind.DELTA, List.of(backend("a"))));
+            proxy.list(ModuleDriver.in(EndpointState.DRAINING, "a"));
+            proxy.feed(new EndpointUpdate(UpdateKind.DELTA, List.of(backend("a"))));
             assertThat(proxy.serve(READ, MS)).isEqualTo("a");
         }
 
         @Test
         void aBackendThatDrainsAndComesBackInOneUpdateIsListedOnce() {
             proxy.list(backend("a"), backend("b"));
-            proxy.feed(new Members(ListKind.DELTA, List.of(ModuleDriver.in(State.DRAINING, "a"), backend("a"))));
+            proxy.feed(new EndpointUpdate(
+                    UpdateKind.DELTA, List.of(ModuleDriver.in(EndpointState.DRAINING, "a"), backend("a"))));
             int toA = 0;
             for (int i = 0; i < 12; i++) {
                 toA += proxy.serve(READ, MS).equals("a") ? 1 : 0;
@@ -350,30 +356,30 @@
         @Test
         void aListThatMustBeAskedForIsAskedForAtOnceAndAgainAfterAFailure() {
             var p = new ModuleDriver(ModuleDriver.settings(new Limits(true, false, false, true, 4, 0, 0), RULES));
-            assertThat(p.feed(new Members(ListKind.CACHED, List.of(backend("a")))))
-                    .contains(new Watch(true));
-            List<Action> after = p.feed(new Members(ListKind.FAILED, List.of()));
+            assertThat(p.feed(new EndpointUpdate(UpdateKind.CACHED, List.of(backend("a")))))
+                    .contains(new WatchEndpoints(true));
+            List<Action> after = p.feed(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
             SetTimer timer = (SetTimer) after.get(0);
-            assertThat(timer.atUs()).isBetween(p.now + 1, p.now + RULES.askWithinUs());
+            assertThat(timer.atUs()).isBetween(p.now + 1, p.now + RULES.pollIntervalUs());
             assertThat(p.serve(READ, MS)).as("the old list stays").isEqualTo("a");
             p.now = timer.atUs();
-            assertThat(p.timer(timer.token())).contains(new Watch(true));
+            assertThat(p.timer(timer.token())).contains(new WatchEndpoints(true));
         }
 
         /** However many calls fail, and whether or not two of them overlap, the next is made within the bound. */
         @ParameterizedTest
         @ValueSource(longs = {50 * MS, 500 * MS, 10 * S, 60 * S, 3_600 * S})
         void theNextCallIsMadeWithinTheBoundAfterAnyRowOfFailures(long askWithinUs) {
-            var rules = new Rules(0.4, 8 * S, 4, S, askWithinUs, false);
+            var rules = new SafetyLimits(0.4, 8 * S, 4, S, askWithinUs, false);
             var p = new ModuleDriver(ModuleDriver.settings(new Limits(true, false, false, true, 4, 0, 0), rules));
-            long boundUs = Math.min(AskBackoff.MAX_DELAY_US, askWithinUs);
-            p.feed(new Members(ListKind.CACHED, List.of(backend("a"))));
+            long boundUs = Math.min(DiscoveryBackoff.MAX_DELAY_US, askWithinUs);
+            p.feed(new EndpointUpdate(UpdateKind.CACHED, List.of(backend("a"))));
             for (int i = 0; i < 40; i++) {
                 long calls = watches(p);
-                p.feed(new Members(ListKind.FAILED, List.of()));
+                p.feed(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
                 if (i % 2 == 1) {
                     p.run(boundUs / 4);
-                    p.feed(new Members(ListKind.FAILED, List.of()));
+                    p.feed(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
                     p.run(boundUs - boundUs / 4);
                 } else {
                     p.run(boundUs);
@@ -383,13 +389,13 @@
         }
 
         private static long watches(ModuleDriver p) {
-            return p.actions.stream().filter(new Watch(true)::equals).count();
+            return p.actions.stream().filter(new WatchEndpoints(true)::equals).count();
         }
 
         /** Two calls that run out and the delays after them leave time for the call that is answered. */
         @Test
         void aChangeIsInForceInTimeThoughTwoCallsFail() {
-            long longestUs = 3 * AskBackoff.CALL_TIMEOUT_US + 2 * AskBackoff.MAX_DELAY_US;
+            long longestUs = 3 * DiscoveryBackoff.CALL_TIMEOUT_US + 2 * DiscoveryBackoff.MAX_DELAY_US;
             assertThat(longestUs).isEqualTo(6 * S);
         }
 
@@ -397,46 +403,46 @@
         @Test
         void callsThatFailGrowRare() {
             var p = new ModuleDriver(ModuleDriver.settings(new Limits(true, false, false, true, 4, 0, 0), RULES));
-            p.feed(new Members(ListKind.CACHED, List.of(backend("a"))));
+            p.feed(new EndpointUpdate(UpdateKind.CACHED, List.of(backend("a"))));
             var delays = new ArrayList<Long>();
             for (int i = 0; i < 6; i++) {
-                SetTimer timer = (SetTimer)
-                        p.feed(new Members(ListKind.FAILED, List.of())).get(0);
+                SetTimer timer = (SetTimer) p.feed(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()))
+                        .get(0);
                 delays.add(timer.atUs() - p.now);
                 p.now = timer.atUs();
                 p.timer(timer.token());
             }
             assertThat(delays.get(0)).isBetween(100 * MS, 200 * MS);
             assertThat(delays.get(1)).isBetween(200 * MS, 400 * MS);
-            assertThat(delays.subList(3, 6)).allMatch(d -> d >= AskBackoff.MAX_DELAY_US / 2);
+            assertThat(delays.subList(3, 6)).allMatch(d -> d >= DiscoveryBackoff.MAX_DELAY_US / 2);
         }
 
         /** Each new watch costs a call or two, also where each is answered first and ends right after. */
         @Test
         void aWatchThatEndsAgainAndAgainIsBegunAnewMoreAndMoreRarely() {
             var p = new ModuleDriver(ModuleDriver.settings(new Limits(true, false, false, true, 4, 0, 0), RULES));
-            p.feed(new Members(ListKind.CACHED, List.of(backend("a"))));
+            p.feed(new EndpointUpdate(UpdateKind.CACHED, List.of(backend("a"))));
             for (int i = 0; i < 4; i++) {
-                p.feed(new Members(ListKind.FAILED, List.of()));
-                p.run(AskBackoff.MAX_DELAY_US);
-                p.feed(new Members(ListKind.DELTA, List.of()));
+                p.feed(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
+                p.run(DiscoveryBackoff.MAX_DELAY_US);
+                p.feed(new EndpointUpdate(UpdateKind.DELTA, List.of()));
             }
-            assertThat(delayAfterAFailure(p)).isGreaterThanOrEqualTo(AskBackoff.MAX_DELAY_US / 2);
-            p.feed(new Members(ListKind.DELTA, List.of()));
-            p.now += AskBackoff.TOLD_AFTER_US + 1;
+            assertThat(delayAfterAFailure(p)).isGreaterThanOrEqualTo(DiscoveryBackoff.MAX_DELAY_US / 2);
+            p.feed(new EndpointUpdate(UpdateKind.DELTA, List.of()));
+            p.now += DiscoveryBackoff.MAX_PROPAGATION_DELAY_US + 1;
             assertThat(delayAfterAFailure(p)).isLessThanOrEqualTo(200 * MS);
         }
 
         private static long delayAfterAFailure(ModuleDriver p) {
-            SetTimer timer =
-                    (SetTimer) p.feed(new Members(ListKind.FAILED, List.of())).get(0);
+            SetTimer timer = (SetTimer) p.feed(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()))
+                    .get(0);
             return timer.atUs() - p.now;
         }
 
         @Test
         void proxiesDoNotAskAgainInStep() {
             var p = new ModuleDriver(ModuleDriver.settings(new Limits(true, false, false, true, 4, 0, 0), RULES));
-            var q = new ModuleDriver(new Settings(
+            var q = new ModuleDriver(new BalancerSettings(
                     1,
                     0,
                     "a",
@@ -448,9 +454,9 @@
                     new Limits(true, false, false, true, 4, 0, 0),
                     RULES,
                     8));
-            assertThat(p.feed(new Members(ListKind.FAILED, List.of())))
-                    .doesNotContainAnyElementsOf(q.feed(new Members(ListKind.FAILED, List.of())).stream()
-                            .filter(a -> a instanceof SetTimer t && t.atUs() != q.now + RULES.askWithinUs())
+            assertThat(p.feed(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of())))
+                    .doesNotContainAnyElementsOf(q.feed(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of())).stream()
+                            .filter(a -> a instanceof SetTimer t && t.atUs() != q.now + RULES.pollIntervalUs())
                             .toList());
         }
     }
@@ -468,7 +474,7 @@
             for (int i = 0; i < 300; i++) {
                 proxy.serve(READ, 50 * MS);
             }
-            assertThat(sentInOneSecond(Outcome.OK)).isBetween(5, MOST);
+            assertThat(sentInOneSecond(AttemptOutcome.SUCCESS)).isBetween(5, MOST);
         }
 
         @Test
@@ -477,19 +483,19 @@
             for (int i = 0; i < 300; i++) {
                 proxy.serve(READ, 50 * MS);
             }
-            assertThat(sentInOneSecond(Outcome.FULL)).isBetween(5, MOST);
+            assertThat(sentInOneSecond(AttemptOutcome.REJECTED)).isBetween(5, MOST);
         }
 
-        private int sentInOneSecond(Outcome outcome) {
+        private int sentInOneSecond(AttemptOutcome outcome) {
             proxy.list(ModuleDriver.started("cold", proxy.now));
             int before = proxy.actions.size();
             for (int i = 0; i < 1000; i++) {
                 proxy.now += MS;
                 proxy.arrive(READ);
                 for (; before < proxy.actions.size(); before++) {
-                    if (proxy.actions.get(before) instanceof Send s) {
+                    if (proxy.actions.get(before) instanceof StartAttempt s) {
                         sent++;
-                        proxy.end(s.id(), outcome, MS);
+                        proxy.end(s.requestId(), outcome, MS);
                     }
                 }
             }
@@ -498,8 +504,9 @@
 
         @Test
         void oneOfManyProxiesMayStillSendItWhatItsLikeBear() {
-            var p = new ModuleDriver(new Settings(9, 3, "a", MS, List.of(READ), List.of(), 1, false, LIMITS, RULES, 1));
-            var backends = new Backend[4];
+            var p = new ModuleDriver(
+                    new BalancerSettings(9, 3, "a", MS, List.of(READ), List.of(), 1, false, LIMITS, RULES, 1));
+            var backends = new Endpoint[4];
             for (int i = 0; i < 4; i++) {
                 backends[i] = backend("s" + i);
             }
@@ -529,7 +536,7 @@
                 String id = proxy.arrive(READ);
                 sent += proxy.sends(id);
                 if (proxy.sends(id) > 0) {
-                    proxy.end(id, Outcome.OK, MS);
+                    proxy.end(id, AttemptOutcome.SUCCESS, MS);
                 }
             }
             assertThat(sent).isLessThan(20);
@@ -537,11 +544,12 @@
 
         @Test
         void itIsWarmInTheEnd() {
-            proxy.list(ModuleDriver.started("a", proxy.now - RULES.coldUs()));
+            proxy.list(ModuleDriver.started("a", proxy.now - RULES.slowStartUs()));
             for (int i = 0; i < 100; i++) {
                 assertThat(proxy.serve(READ, 0)).isEqualTo("a");
             }
-            assertThat(proxy.actions.stream().filter(a -> a instanceof Send)).hasSize(100);
+            assertThat(proxy.actions.stream().filter(a -> a instanceof StartAttempt))
+                    .hasSize(100);
         }
     }
 }
--- a/src/test/java/beechfall/proxy/BackendsTest.java
+++ b/src/test/java/beechfall/proxy/BackendsTest.java
@@ -2,11 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Action.Release;
-import beechfall.Action.Send;
-import beechfall.Event.Arrival;
+import beechfall.Action.CloseIdleConnections;
+import beechfall.Action.StartAttempt;
+import beechfall.AttemptOutcome;
 import beechfall.Event.AttemptEnded;
-import beechfall.Outcome;
+import beechfall.Event.RequestArrived;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -27,14 +27,14 @@
         "404 Unknown,X-Other: 1,ERROR",
         "200 OK,X-Not-Processed: 1,OK"
     })
-    void tellsOutcomesByTheirAnswers(String status, String header, Outcome outcome) throws Exception {
+    void tellsOutcomesByTheirAnswers(String status, String header, AttemptOutcome outcome) throws Exception {
         try (var backend = new Peer();
                 var proxy = new Fixture(Fixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
             backend.always(Peer.answer(status, "x", header));
             client.send(Fixture.get("r1"));
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(outcome);
-            assertThat(client.read().status()).isEqualTo(outcome == Outcome.OK ? 200 : 502);
+            assertThat(client.read().status()).isEqualTo(outcome == AttemptOutcome.SUCCESS ? 200 : 502);
         }
     }
 
@@ -54,7 +54,7 @@
                 attempt.read();
                 attempt.send(part);
             }
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.RESET);
+            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.RESET);
             assertThat(client.read().status()).isEqualTo(502);
         }
     }
@@ -62,7 +62,8 @@
     /** Over HTTP an answer may have no length, and is whole at the end of its connection: a reset is no end. */
     @ParameterizedTest
     @CsvSource({"false,OK,200", "true,RESET,502"})
-    void anAnswerWithoutALengthIsWholeAtItsEndAlone(boolean reset, Outcome outcome, int status) throws Exception {
+    void anAnswerWithoutALengthIsWholeAtItsEndAlone(boolean reset, AttemptOutcome outcome, int status)
+            throws Exception {
         try (var backend = new Peer();
                 var proxy = new Fixture(Fixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
@@ -86,7 +87,7 @@
         try (var proxy = new Fixture(Fixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
             client.send(Fixture.get("r1"));
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.CONNECT_FAILED);
+            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.CONNECT_FAILED);
             assertThat(client.read().status()).isEqualTo(502);
         }
     }
@@ -99,7 +100,7 @@
                 var client = proxy.client()) {
             Wire attempt = backend.attemptFor(client, "r1");
             attempt.send("rubbish\r\n\r\n" + Peer.ok("not asked for"));
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.ERROR);
+            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.ERROR);
             assertThat(client.read().status()).isEqualTo(502);
             assertThat(attempt.ended()).isTrue();
         }
@@ -147,8 +148,9 @@
         try (var backend = new Peer();
                 var proxy = new Fixture(
                         (event, actions) -> {
-                            if (event instanceof Arrival a) {
-                                actions.accept(new Send(a.id(), "s0", a.id().startsWith("hangs") ? 30_000 : 0));
+                            if (event instanceof RequestArrived a) {
+                                actions.accept(new StartAttempt(
+                                        a.requestId(), "s0", a.requestId().startsWith("hangs") ? 30_000 : 0));
                             } else {
                                 Fixture.sendTo("s0").handle(event, actions);
                             }
@@ -195,7 +197,7 @@
             Wire attempt = backend.attemptFor(client, "r1");
             attempt.send(answer);
             AttemptEnded end = proxy.next(AttemptEnded.class);
-            assertThat(end.outcome()).isEqualTo(Outcome.ERROR);
+            assertThat(end.outcome()).isEqualTo(AttemptOutcome.ERROR);
             assertThat(client.read().status()).isEqualTo(502);
             assertThat(attempt.ended()).isTrue();
         }
@@ -212,7 +214,7 @@
             // It may be cut off before all of it is written.
             Peer.background(
                     () -> attempt.send((more.startsWith("HTTP") ? "" : "HTTP/1.1 200 OK\r\n") + more.repeat(10_000)));
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.ERROR);
+            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.ERROR);
         }
     }
 
@@ -281,7 +283,7 @@
                 var client = proxy.client()) {
             backend.always(Peer.ok("x".repeat(70_000)));
             client.send(Fixture.get("r1"));
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.ERROR);
+            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.ERROR);
         }
     }
 
@@ -292,10 +294,10 @@
                 var other = new Peer();
                 var proxy = new Fixture(
                         (event, actions) -> {
-                            if (event instanceof Arrival a) {
-                                actions.accept(new Send(a.id(), "s0", 50_000));
-                            } else if (event instanceof AttemptEnded e && e.outcome() == Outcome.TIMEOUT) {
-                                actions.accept(new Send(e.id(), "s1", 0));
+                            if (event instanceof RequestArrived a) {
+                                actions.accept(new StartAttempt(a.requestId(), "s0", 50_000));
+                            } else if (event instanceof AttemptEnded e && e.outcome() == AttemptOutcome.TIMEOUT) {
+                                actions.accept(new StartAttempt(e.requestId(), "s1", 0));
                             }
                         },
                         slow,
@@ -317,8 +319,9 @@
         try (var backend = new Peer();
                 var proxy = new Fixture(
                         (event, actions) -> {
-                            if (event instanceof Arrival a && a.id().equals("r3")) {
-                                actions.accept(new Release("s0"));
+                            if (event instanceof RequestArrived a
+                                    && a.requestId().equals("r3")) {
+                                actions.accept(new CloseIdleConnections("s0"));
                             }
                             Fixture.sendTo("s0").handle(event, actions);
                         },
@@ -360,9 +363,9 @@
                 var client = proxy.client()) {
             Wire next = proxy.list(Fixture.entry("s1", full.address(), "ready"));
             client.send(Fixture.get("r1"));
-            proxy.next(Arrival.class);
+            proxy.next(RequestArrived.class);
             next.send(Peer.ok(Fixture.list(43, false, Fixture.entry("s1", full.address(), "draining"))));
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.NOT_SENT);
+            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
             assertThat(client.read().status()).isEqualTo(502);
         }
     }
--- a/src/test/java/beechfall/proxy/ConfigTest.java
+++ b/src/test/java/beechfall/proxy/ConfigTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import beechfall.Effect;
+import beechfall.Idempotency;
 import beechfall.RequestClass;
 import beechfall.Tenant;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -20,10 +20,10 @@
     void readsTheSettings() throws Exception {
         Config config = Config.parse(Fixture.config());
         assertThat(config.settings().seed()).isEqualTo(0x92094eb940cf389aL);
-        assertThat(config.settings().limits().listMustBeAsked()).isTrue();
-        assertThat(config.settings().classes())
-                .extracting(RequestClass::effect)
-                .containsExactly(Effect.SAFE, Effect.KEYED, Effect.UNSAFE);
+        assertThat(config.settings().limits().endpointsArePolled()).isTrue();
+        assertThat(config.settings().requestClasses())
+                .extracting(RequestClass::idempotency)
+                .containsExactly(Idempotency.IDEMPOTENT, Idempotency.IDEMPOTENT_WITH_KEY, Idempotency.NOT_IDEMPOTENT);
         assertThat(config.settings().tenants()).containsExactly(new Tenant("acme", 100));
         assertThat(config.connIdleUs()).isEqualTo(15_000_000);
         assertThat(config.known().path("version").asLong()).isEqualTo(41);
--- a/src/test/java/beechfall/proxy/CrossingTest.java
+++ b/src/test/java/beechfall/proxy/CrossingTest.java
@@ -2,12 +2,12 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Action.Send;
-import beechfall.Event.Arrival;
+import beechfall.Action.StartAttempt;
+import beechfall.AttemptOutcome;
 import beechfall.Event.AttemptEnded;
-import beechfall.Event.Members;
-import beechfall.ListKind;
-import beechfall.Outcome;
+import beechfall.Event.EndpointUpdate;
+import beechfall.Event.RequestArrived;
+import beechfall.UpdateKind;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -21,16 +21,16 @@
     /** Sends as {@link Fixture#sendTo} does, and stands still when a request arrives that is named so. */
     private static Fixture.Module standingStillAt(String id, CountDownLatch goOn, long firstTimeoutUs) {
         return (event, actions) -> {
-            if (event instanceof Arrival a && a.id().equals(id)) {
+            if (event instanceof RequestArrived a && a.requestId().equals(id)) {
                 Peer.await(goOn);
             }
-            boolean first = event instanceof Arrival a && a.id().equals("r1");
+            boolean first = event instanceof RequestArrived a && a.requestId().equals("r1");
             Fixture.sendTo("s0", first ? firstTimeoutUs : 0).handle(event, actions);
         };
     }
 
     private static void arrived(Fixture proxy, String id) throws InterruptedException {
-        while (!proxy.next(Arrival.class).id().equals(id)) {
+        while (!proxy.next(RequestArrived.class).requestId().equals(id)) {
             // those before it
         }
     }
@@ -48,7 +48,7 @@
             attempt.read();
             attempt.send(Peer.ok("x"));
             assertThat(client.read().status()).isEqualTo(200);
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.OK);
+            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.SUCCESS);
             long answered = System.nanoTime();
             client.send(Fixture.patient("r2"));
             arrived(proxy, "r2");
@@ -66,7 +66,7 @@
             backend.always(Peer.ok("y"));
             goOn.countDown();
             assertThat(client.read().body()).isEqualTo("y");
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.OK);
+            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.SUCCESS);
             proxy.settle();
             assertThat(proxy.held()).isZero();
         }
@@ -93,10 +93,10 @@
             attempt.always(Peer.ok("y"), new ArrayDeque<>());
             goOn.countDown();
             AttemptEnded end = proxy.next(AttemptEnded.class);
-            assertThat(end.id()).isEqualTo("r1");
-            assertThat(end.outcome()).isIn(Outcome.OK, Outcome.TIMEOUT);
-            assertThat(client.read().status()).isEqualTo(end.outcome() == Outcome.OK ? 200 : 502);
-            assertThat(proxy.next(AttemptEnded.class).id()).isEqualTo("other");
+            assertThat(end.requestId()).isEqualTo("r1");
+            assertThat(end.outcome()).isIn(AttemptOutcome.SUCCESS, AttemptOutcome.TIMEOUT);
+            assertThat(client.read().status()).isEqualTo(end.outcome() == AttemptOutcome.SUCCESS ? 200 : 502);
+            assertThat(proxy.next(AttemptEnded.class).requestId()).isEqualTo("other");
             proxy.settle();
             assertThat(proxy.events).noneMatch(AttemptEnded.class::isInstance);
             assertThat(proxy.held()).isZero();
@@ -124,10 +124,10 @@
             backend.always(Peer.ok("y"));
             goOn.countDown();
             AttemptEnded end = proxy.next(AttemptEnded.class);
-            assertThat(end.id()).isEqualTo("r1");
-            assertThat(end.outcome()).isEqualTo(Outcome.OK);
+            assertThat(end.requestId()).isEqualTo("r1");
+            assertThat(end.outcome()).isEqualTo(AttemptOutcome.SUCCESS);
             assertThat(other.read().body()).isEqualTo("y");
-            assertThat(proxy.next(AttemptEnded.class).id()).isEqualTo("other");
+            assertThat(proxy.next(AttemptEnded.class).requestId()).isEqualTo("other");
             proxy.settle();
             assertThat(proxy.events).noneMatch(AttemptEnded.class::isInstance);
             assertThat(proxy.held()).isZero();
@@ -144,7 +144,8 @@
         try (var backend = new Peer();
                 var proxy = new Fixture(
                         (event, actions) -> {
-                            if (event instanceof Arrival a && a.id().equals("other")) {
+                            if (event instanceof RequestArrived a
+                                    && a.requestId().equals("other")) {
                                 Peer.await(goOn);
                             } else {
                                 watching.handle(event, actions);
@@ -165,10 +166,10 @@
             watch.send(Peer.ok(Fixture.list(42, false, Fixture.entry("s0", backend.address(), "draining"))));
             goOn.countDown();
             assertThat(client.read().body()).isEqualTo("x");
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.OK);
+            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.SUCCESS);
             assertThat(attempt.ended()).isTrue();
             client.send(Fixture.patient("r2"));
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.NOT_SENT);
+            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
             assertThat(client.read().status()).isEqualTo(502);
         }
     }
@@ -182,14 +183,14 @@
                 var proxy = Fixture.inService(Fixture.PATIENT, backend)) {
             while (clients.size() < proxy.sends.size() + 2) {
                 clients.add(proxy.client().send(Fixture.patient("r" + clients.size())));
-                proxy.next(Arrival.class);
+                proxy.next(RequestArrived.class);
                 proxy.settle();
             }
             int sent = proxy.sends.size();
             proxy.list(
                     Fixture.entry("s0", backend.address(), "draining"), Fixture.entry("s1", other.address(), "ready"));
             other.always(Peer.ok("x"));
-            while (proxy.next(Members.class).kind() != ListKind.DELTA) {
+            while (proxy.next(EndpointUpdate.class).kind() != UpdateKind.DELTA) {
                 // what it had in its last life
             }
             proxy.settle();
@@ -200,8 +201,8 @@
                 proxy.next(AttemptEnded.class);
             }
             proxy.settle();
-            List<Send> later = List.copyOf(proxy.sends).subList(sent, proxy.sends.size());
-            assertThat(later).isNotEmpty().allMatch(s -> s.backend().equals("s1"));
+            List<StartAttempt> later = List.copyOf(proxy.sends).subList(sent, proxy.sends.size());
+            assertThat(later).isNotEmpty().allMatch(s -> s.endpointId().equals("s1"));
         } finally {
             for (Wire client : clients) {
                 client.close();
--- a/src/test/java/beechfall/proxy/DescriptorReserveTest.java
+++ b/src/test/java/beechfall/proxy/DescriptorReserveTest.java
@@ -2,10 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Action.Refuse;
-import beechfall.Event.Arrival;
+import beechfall.Action.Reject;
+import beechfall.AttemptOutcome;
 import beechfall.Event.AttemptEnded;
-import beechfall.Outcome;
+import beechfall.Event.RequestArrived;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -96,14 +96,14 @@
         var read = new CountDownLatch(1);
         var spoilt = new CountDownLatch(1);
         Fixture.Module module = (event, actions) -> {
-            if (event instanceof Arrival a && a.id().equals("held")) {
+            if (event instanceof RequestArrived a && a.requestId().equals("held")) {
                 Peer.await(read);
-                actions.accept(new Refuse(a.id(), 0));
-            } else if (event instanceof Arrival a) {
-                if (a.id().startsWith("again")) {
+                actions.accept(new Reject(a.requestId(), 0));
+            } else if (event instanceof RequestArrived a) {
+                if (a.requestId().startsWith("again")) {
                     Peer.await(spoilt);
                 }
-                Fixture.sendTo("s" + a.id().replaceAll("\\D", "")).handle(event, actions);
+                Fixture.sendTo("s" + a.requestId().replaceAll("\\D", "")).handle(event, actions);
             } else {
                 Fixture.sendTo("").handle(event, actions);
             }
@@ -136,17 +136,17 @@
                 crowd.get(i).send(Fixture.patient("again" + i));
             }
             read.countDown();
-            proxy.next(Arrival.class);
+            proxy.next(RequestArrived.class);
             for (Wire attempt : attempts) {
                 attempt.send("not asked for");
             }
             backend.always(Peer.ok("x"));
             spoilt.countDown();
-            var outcomes = new ArrayList<Outcome>();
+            var outcomes = new ArrayList<AttemptOutcome>();
             for (int i = 0; i < requests; i++) {
                 outcomes.add(proxy.next(AttemptEnded.class).outcome());
             }
-            assertThat(outcomes).contains(Outcome.OK).containsOnlyOnce(Outcome.NOT_SENT);
+            assertThat(outcomes).contains(AttemptOutcome.SUCCESS).containsOnlyOnce(AttemptOutcome.NOT_SENT);
         }
     }
 
@@ -154,7 +154,7 @@
     private void crowd(Fixture proxy, String name, int size) throws Exception {
         for (int i = 0; i < size; i++) {
             crowd(proxy.address.getPort(), 1, Fixture.patient(size == 1 ? name : name + i));
-            proxy.next(Arrival.class);
+            proxy.next(RequestArrived.class);
         }
     }
 
--- a/src/test/java/beechfall/proxy/DiscoveryTest.java
+++ b/src/test/java/beechfall/proxy/DiscoveryTest.java
@@ -2,16 +2,16 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Action.Fetch;
-import beechfall.Action.Refuse;
+import beechfall.Action.FetchEndpoints;
+import beechfall.Action.Reject;
 import beechfall.Action.SetTimer;
-import beechfall.Action.Watch;
-import beechfall.Backend;
+import beechfall.Action.WatchEndpoints;
+import beechfall.Endpoint;
+import beechfall.EndpointState;
 import beechfall.Event;
-import beechfall.Event.Arrival;
-import beechfall.Event.Members;
-import beechfall.ListKind;
-import beechfall.State;
+import beechfall.Event.EndpointUpdate;
+import beechfall.Event.RequestArrived;
+import beechfall.UpdateKind;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
@@ -33,8 +33,9 @@
     /** Asks to watch at its first event, and again whenever a call has failed. */
     private static Fixture.Module watcher() {
         return (event, actions) -> {
-            if (event instanceof Members m && (m.kind() == ListKind.CACHED || m.kind() == ListKind.FAILED)) {
-                actions.accept(new Watch(true));
+            if (event instanceof EndpointUpdate m
+                    && (m.kind() == UpdateKind.CACHED || m.kind() == UpdateKind.POLL_FAILED)) {
+                actions.accept(new WatchEndpoints(true));
             }
         };
     }
@@ -50,9 +51,10 @@
     void isReadyOnceDiscoveryHasSpoken() throws Exception {
         try (var backend = new Peer();
                 var proxy = new Fixture(watcher(), backend)) {
-            Members known = proxy.next(Members.class);
-            assertThat(known.kind()).isEqualTo(ListKind.CACHED);
-            assertThat(known.backends()).containsExactly(new Backend("s0", State.READY, "m", "a", 1, 7_000, 1));
+            EndpointUpdate known = proxy.next(EndpointUpdate.class);
+            assertThat(known.kind()).isEqualTo(UpdateKind.CACHED);
+            assertThat(known.endpoints())
+                    .containsExactly(new Endpoint("s0", EndpointState.READY, "m", "a", 1, 7_000, 1));
             Wire call = proxy.discovery.accept();
             assertThat(call.read().first()).isEqualTo("GET /v1/endpoints?from=41&hold_ms=0 HTTP/1.1");
             assertThat(ready(proxy).status()).isEqualTo(503);
@@ -80,8 +82,8 @@
     })
     void isReadyByTheListThatItHadWhereDiscoveryFails(String mode, String answer) throws Exception {
         Fixture.Module asksOnce = (event, actions) -> {
-            if (event instanceof Members m && m.kind() == ListKind.CACHED) {
-                actions.accept(new Watch(true));
+            if (event instanceof EndpointUpdate m && m.kind() == UpdateKind.CACHED) {
+                actions.accept(new WatchEndpoints(true));
             }
         };
         try (var backend = new Peer();
@@ -108,17 +110,17 @@
     @Test
     void tellsChangesAndWholeLists() throws Exception {
         try (var proxy = new Fixture(watcher())) {
-            proxy.next(Members.class);
+            proxy.next(EndpointUpdate.class);
             Wire call = proxy.discovery.accept();
             call.read();
             call.send(Peer.ok(Fixture.list(42, true, Fixture.entry("s7", "127.0.0.1:1", "ready"))));
-            assertThat(proxy.next(Members.class).kind()).isEqualTo(ListKind.FULL);
+            assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.SNAPSHOT);
             call = proxy.discovery.accept();
             call.read();
             call.send(Peer.ok(Fixture.list(43, false, Fixture.entry("s7", "127.0.0.1:1", "draining"))));
-            Members change = proxy.next(Members.class);
-            assertThat(change.kind()).isEqualTo(ListKind.DELTA);
-            assertThat(change.backends()).extracting(Backend::state).containsExactly(State.DRAINING);
+            EndpointUpdate change = proxy.next(EndpointUpdate.class);
+            assertThat(change.kind()).isEqualTo(UpdateKind.DELTA);
+            assertThat(change.endpoints()).extracting(Endpoint::state).containsExactly(EndpointState.DRAINING);
         }
     }
 
@@ -159,12 +161,13 @@
             })
     void tellsOfAFailedCall(String answer) throws Exception {
         try (var proxy = new Fixture(watcher())) {
-            proxy.next(Members.class);
+            proxy.next(EndpointUpdate.class);
             try (Wire call = proxy.discovery.accept()) {
                 call.read();
                 call.send(answer);
             }
-            assertThat(proxy.next(Members.class)).isEqualTo(new Members(ListKind.FAILED, List.of()));
+            assertThat(proxy.next(EndpointUpdate.class))
+                    .isEqualTo(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
             assertThat(proxy.discovery.accept().read().first()).contains("from=41&hold_ms=0");
         }
     }
@@ -173,20 +176,20 @@
     @Test
     void noticesASilentDiscovery() throws Exception {
         try (var proxy = new Fixture(watcher())) {
-            proxy.next(Members.class);
+            proxy.next(EndpointUpdate.class);
             Wire call = proxy.discovery.accept();
             call.read();
             assertThat(call.ended()).isTrue();
-            assertThat(proxy.next(Members.class).kind()).isEqualTo(ListKind.FAILED);
+            assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.POLL_FAILED);
         }
     }
 
     /** As {@link #watcher}; a timer runs from the first list of a kind on. */
-    private static Fixture.Module watcher(ListKind from, long timerMs) {
+    private static Fixture.Module watcher(UpdateKind from, long timerMs) {
         var set = new boolean[1];
         return (event, actions) -> {
             watcher().handle(event, actions);
-            if (!set[0] && event instanceof Members m && m.kind() == from) {
+            if (!set[0] && event instanceof EndpointUpdate m && m.kind() == from) {
                 set[0] = true;
                 long now = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
                 actions.accept(new SetTimer(now + timerMs * 1_000, "told"));
@@ -200,15 +203,15 @@
      */
     @Test
     void asksAnewBeforeThatBindsWhichASilentWatchMisses() throws Exception {
-        try (var proxy = new Fixture(watcher(ListKind.DELTA, 4_100))) {
+        try (var proxy = new Fixture(watcher(UpdateKind.DELTA, 4_100))) {
             Wire first = proxy.discovery.accept();
             first.read();
             first.send(Peer.ok(Fixture.list(42, false)));
             proxy.discovery.accept().read();
-            assertThat(proxy.next(Members.class).kind()).isEqualTo(ListKind.CACHED);
-            assertThat(proxy.next(Members.class).kind()).isEqualTo(ListKind.DELTA);
+            assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
+            assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.DELTA);
             Event next = Peer.next(proxy.events);
-            assertThat(next).isEqualTo(new Members(ListKind.FAILED, List.of()));
+            assertThat(next).isEqualTo(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
         }
     }
 
@@ -218,15 +221,15 @@
     @ParameterizedTest
     @ValueSource(strings = {"", STALLED_ANSWER})
     void aCallThatDoesNotWaitFailsSoon(String answer) throws Exception {
-        try (var proxy = new Fixture(watcher(ListKind.FAILED, 1_700))) {
+        try (var proxy = new Fixture(watcher(UpdateKind.POLL_FAILED, 1_700))) {
             proxy.discovery.accept().close();
-            assertThat(proxy.next(Members.class).kind()).isEqualTo(ListKind.CACHED);
-            assertThat(proxy.next(Members.class).kind()).isEqualTo(ListKind.FAILED);
+            assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
+            assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.POLL_FAILED);
             Wire call = proxy.discovery.accept();
             call.read();
             call.send(answer);
             Event next = Peer.next(proxy.events);
-            assertThat(next).isEqualTo(new Members(ListKind.FAILED, List.of()));
+            assertThat(next).isEqualTo(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
         }
     }
 
@@ -234,29 +237,29 @@
     @Test
     void anAnswerThatStopsHalfWayIsNotWaitedForAsLongAsItMightHaveWaited() throws Exception {
         try (var proxy =
-                new Fixture(watcher(ListKind.DELTA, 6_000), c -> c.replace("\"balancers\":2", "\"balancers\":100"))) {
+                new Fixture(watcher(UpdateKind.DELTA, 6_000), c -> c.replace("\"balancers\":2", "\"balancers\":100"))) {
             Wire watch = proxy.list();
-            assertThat(proxy.next(Members.class).kind()).isEqualTo(ListKind.CACHED);
-            assertThat(proxy.next(Members.class).kind()).isEqualTo(ListKind.DELTA);
+            assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
+            assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.DELTA);
             watch.send(STALLED_ANSWER);
             Event next = Peer.next(proxy.events);
-            assertThat(next).isEqualTo(new Members(ListKind.FAILED, List.of()));
+            assertThat(next).isEqualTo(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
         }
     }
 
     /** What an agent has counts as told at once: two calls that fail and their delays take 1 s, the first 0.15 s more. */
     @Test
     void anAgentIsAskedAnewInTimeThoughCallsFail() throws Exception {
-        try (var proxy = new Fixture(watcher(ListKind.CACHED, 3_400), c -> c.replace("on_request", "pushed"))) {
+        try (var proxy = new Fixture(watcher(UpdateKind.CACHED, 3_400), c -> c.replace("on_request", "pushed"))) {
             for (int i = 0; i < 5; i++) {
                 proxy.discovery.accept().read();
             }
             Wire call = proxy.discovery.accept();
             call.read();
             call.send(Peer.ok(Fixture.list(42, false)));
-            assertThat(proxy.next(Members.class).kind()).isEqualTo(ListKind.CACHED);
+            assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
             Event next = Peer.next(proxy.events);
-            assertThat(next).isEqualTo(new Members(ListKind.DELTA, List.of()));
+            assertThat(next).isEqualTo(new EndpointUpdate(UpdateKind.DELTA, List.of()));
         }
     }
 
@@ -264,15 +267,15 @@
     @Test
     void anAgentIsAskedOftenAndAnewWhenItIsSilent() throws Exception {
         try (var proxy = new Fixture(
-                watcher(ListKind.CACHED, 2_500),
+                watcher(UpdateKind.CACHED, 2_500),
                 c -> c.replace("on_request", "pushed").replace("\"balancers\":2", "\"balancers\":100"))) {
             proxy.discovery.accept().read();
             Wire again = proxy.discovery.accept();
             assertThat(again.read().first()).contains("from=41&hold_ms=0");
             again.send(Peer.ok(Fixture.list(42, false)));
-            assertThat(proxy.next(Members.class).kind()).isEqualTo(ListKind.CACHED);
+            assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
             Event next = Peer.next(proxy.events);
-            assertThat(next).isEqualTo(new Members(ListKind.DELTA, List.of()));
+            assertThat(next).isEqualTo(new EndpointUpdate(UpdateKind.DELTA, List.of()));
             assertThat(proxy.discovery.accept().read().first())
                     .matches("GET /v1/endpoints\\?from=42&hold_ms=1[1-5]\\d{2} HTTP/1.1");
         }
@@ -301,8 +304,8 @@
                     c -> at(discovery, c).replace("on_request", "pushed").replace("127.0.0.1:0", "127.0.0.1:" + port),
                     backend)) {
                 assertThat(proxy.events)
-                        .extracting(e -> ((Members) e).kind())
-                        .containsExactly(ListKind.CACHED, ListKind.DELTA);
+                        .extracting(e -> ((EndpointUpdate) e).kind())
+                        .containsExactly(UpdateKind.CACHED, UpdateKind.DELTA);
             }
         }
     }
@@ -339,8 +342,13 @@
             whole.send(Peer.ok(Fixture.list(8, true, Fixture.entry("s8", "127.0.0.1:1", "ready"))));
             assertThat(proxy.discovery.accept().read().first()).contains("?from=8&");
             assertThat(proxy.events)
-                    .extracting(e -> ((Members) e).kind())
-                    .containsExactly(ListKind.CACHED, ListKind.DELTA, ListKind.FAILED, ListKind.FAILED, ListKind.FULL);
+                    .extracting(e -> ((EndpointUpdate) e).kind())
+                    .containsExactly(
+                            UpdateKind.CACHED,
+                            UpdateKind.DELTA,
+                            UpdateKind.POLL_FAILED,
+                            UpdateKind.POLL_FAILED,
+                            UpdateKind.SNAPSHOT);
         }
     }
 
@@ -377,7 +385,7 @@
     @Test
     void leavesMalformedEntriesOut() throws Exception {
         try (var proxy = new Fixture(watcher())) {
-            proxy.next(Members.class);
+            proxy.next(EndpointUpdate.class);
             Wire call = proxy.discovery.accept();
             call.read();
             call.send(Peer.ok(Fixture.list(
@@ -391,8 +399,8 @@
                     Fixture.entry("s2", "127.0.0.1:99999", "ready"),
                     Fixture.entry("s3", "127.0.0.1:1", "asleep"),
                     Fixture.entry("s4", "127.0.0.1:1", "ready"))));
-            assertThat(proxy.next(Members.class).backends())
-                    .extracting(Backend::id)
+            assertThat(proxy.next(EndpointUpdate.class).endpoints())
+                    .extracting(Endpoint::id)
                     .containsExactly("s4");
         }
     }
@@ -400,15 +408,15 @@
     @Test
     void fetchesTheWholeListOnce() throws Exception {
         try (var proxy = new Fixture((Event event, java.util.function.Consumer<beechfall.Action> actions) -> {
-            if (event instanceof Members m && m.kind() == ListKind.CACHED) {
-                actions.accept(new Fetch());
+            if (event instanceof EndpointUpdate m && m.kind() == UpdateKind.CACHED) {
+                actions.accept(new FetchEndpoints());
             }
         })) {
-            proxy.next(Members.class);
+            proxy.next(EndpointUpdate.class);
             Wire call = proxy.discovery.accept();
             assertThat(call.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
             call.send(Peer.ok(Fixture.list(42, true, Fixture.entry("s1", "127.0.0.1:1", "ready"))));
-            assertThat(proxy.next(Members.class).kind()).isEqualTo(ListKind.FULL);
+            assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.SNAPSHOT);
         }
     }
 
@@ -417,9 +425,9 @@
     void aWholeListIsNeverAskedForBesideTheWatch() throws Exception {
         try (var proxy = new Fixture((event, actions) -> {
                     watcher().handle(event, actions);
-                    if (event instanceof Arrival a) {
-                        actions.accept(new Fetch());
-                        actions.accept(new Refuse(a.id(), 0));
+                    if (event instanceof RequestArrived a) {
+                        actions.accept(new FetchEndpoints());
+                        actions.accept(new Reject(a.requestId(), 0));
                     }
                 });
                 var client = proxy.client()) {
--- a/src/test/java/beechfall/proxy/Fixture.java
+++ b/src/test/java/beechfall/proxy/Fixture.java
@@ -1,10 +1,10 @@
 package beechfall.proxy;
 
 import beechfall.Action;
-import beechfall.Balancer;
+import beechfall.BalancerSettings;
+import beechfall.EarliestDeadlineLoadBalancer;
 import beechfall.Event;
-import beechfall.Policy;
-import beechfall.Settings;
+import beechfall.LoadBalancer;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.ByteArrayInputStream;
@@ -41,7 +41,7 @@
             """;
 
     final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
-    final BlockingQueue<Action.Send> sends = new LinkedBlockingQueue<>();
+    final BlockingQueue<Action.StartAttempt> sends = new LinkedBlockingQueue<>();
     final Peer discovery = new Peer();
     private final Serve serve;
     final InetSocketAddress address;
@@ -75,16 +75,16 @@
     }
 
     static Fixture inService(UnaryOperator<String> edit, Peer... backends) throws Exception {
-        return new Fixture(Policy::new, 1_024, 15_000_000, edit, backends);
+        return new Fixture(EarliestDeadlineLoadBalancer::new, 1_024, 15_000_000, edit, backends);
     }
 
     /** A proxy with the module that it has in service, under a limit of descriptors. */
     static Fixture inService(int sockets, Peer... backends) throws Exception {
-        return new Fixture(Policy::new, sockets, 15_000_000, c -> c, backends);
+        return new Fixture(EarliestDeadlineLoadBalancer::new, sockets, 15_000_000, c -> c, backends);
     }
 
     private Fixture(
-            Function<Settings, Balancer> factory,
+            Function<BalancerSettings, LoadBalancer> factory,
             int sockets,
             long idleUs,
             UnaryOperator<String> edit,
@@ -95,11 +95,11 @@
             servers.append(i == 0 ? "" : ",").append(entry("s" + i, backends[i].address(), "ready"));
         }
         Config config = Config.parse(json(edit.apply(CONFIG.formatted(discovery.address(), sockets, servers, idleUs))));
-        Balancer module = factory.apply(config.settings());
+        LoadBalancer module = factory.apply(config.settings());
         serve = new Serve(config, (now, event, actions) -> {
             events.add(event);
             module.handle(now, event, action -> {
-                if (action instanceof Action.Send send) {
+                if (action instanceof Action.StartAttempt send) {
                     sends.add(send);
                 }
                 actions.accept(action);
@@ -147,10 +147,10 @@
 
     static Module sendTo(String backend, long timeoutUs) {
         return (event, actions) -> {
-            if (event instanceof Event.Arrival a) {
-                actions.accept(new Action.Send(a.id(), backend, timeoutUs));
-            } else if (event instanceof Event.AttemptEnded e && !e.last()) {
-                actions.accept(new Action.Fail(e.id()));
+            if (event instanceof Event.RequestArrived a) {
+                actions.accept(new Action.StartAttempt(a.requestId(), backend, timeoutUs));
+            } else if (event instanceof Event.AttemptEnded e && !e.requestEnded()) {
+                actions.accept(new Action.Fail(e.requestId()));
             }
         };
     }
@@ -161,7 +161,7 @@
         return (event, actions) -> {
             if (!asked[0]) {
                 asked[0] = true;
-                actions.accept(new Action.Watch(true));
+                actions.accept(new Action.WatchEndpoints(true));
             }
             sendTo(backend).handle(event, actions);
         };
