--- a/src/test/java/beechfall/proxy/FrontendTest.java
+++ b/src/test/java/beechfall/proxy/FrontendTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import beechfall.Action.Fail;
-import beechfall.Action.Refuse;
-import beechfall.Event.Arrival;
-import beechfall.Event.ClientGone;
+import beechfall.Action.Reject;
+import beechfall.Event.ClientDisconnected;
+import beechfall.Event.RequestArrived;
 import java.io.IOException;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
@@ -38,12 +38,12 @@
             assertThat(answer.body()).isEqualTo("an\r\n\r\nswer");
             assertThat(answer.header("Content-Type")).isEqualTo("a/b");
             assertThat(answer.header("X-Hop")).isNull();
-            Arrival arrival = proxy.next(Arrival.class);
+            RequestArrived arrival = proxy.next(RequestArrived.class);
             assertThat(arrival.requestClass()).isEqualTo("pay");
             assertThat(arrival.tenant()).isEqualTo("acme");
             assertThat(arrival.key()).isEqualTo("u 1");
-            assertThat(arrival.repeat()).isFalse();
-            assertThat(arrival.leftUs()).isPositive().isLessThan(1_900_000);
+            assertThat(arrival.retry()).isFalse();
+            assertThat(arrival.timeoutUs()).isPositive().isLessThan(1_900_000);
             assertThat(client.send(Fixture.get("r2")).read().status()).isEqualTo(200);
         }
     }
@@ -53,17 +53,17 @@
     void aClientThatHasGoneBeforeItsRequestIsReadIsPassedOver() throws Exception {
         var held = new CountDownLatch(1);
         Fixture.Module module = (event, actions) -> {
-            if (event instanceof Arrival a && a.id().equals("first")) {
+            if (event instanceof RequestArrived a && a.requestId().equals("first")) {
                 Peer.await(held);
             }
-            if (event instanceof Arrival a) {
-                actions.accept(new Refuse(a.id(), 0));
+            if (event instanceof RequestArrived a) {
+                actions.accept(new Reject(a.requestId(), 0));
             }
         };
         try (var proxy = new Fixture(module);
                 var first = proxy.client()) {
             first.send(Fixture.get("first"));
-            proxy.next(Arrival.class);
+            proxy.next(RequestArrived.class);
             for (int i = 0; i < 5; i++) {
                 try (var gone = proxy.client()) {
                     gone.send(Fixture.get("gone" + i));
@@ -74,7 +74,7 @@
                 held.countDown();
                 assertThat(late.read().status()).isEqualTo(503);
             }
-            assertThat(proxy.next(Arrival.class).id()).isEqualTo("late");
+            assertThat(proxy.next(RequestArrived.class).requestId()).isEqualTo("late");
         }
     }
 
@@ -109,7 +109,7 @@
             assertThat(client.ended()).isTrue();
             backend.always(Peer.ok("x"));
             assertThat(proxy.client().send(Fixture.get("good")).read().status()).isEqualTo(200);
-            assertThat(proxy.next(Arrival.class).id()).isEqualTo("good");
+            assertThat(proxy.next(RequestArrived.class).requestId()).isEqualTo("good");
         }
     }
 
@@ -142,7 +142,7 @@
                             .status())
                     .isBetween(400, 499);
             assertThat(client.ended()).isTrue();
-            assertThat(proxy.events).noneMatch(Arrival.class::isInstance);
+            assertThat(proxy.events).noneMatch(RequestArrived.class::isInstance);
         }
     }
 
@@ -263,7 +263,7 @@
                             .isEqualTo(400);
                 }
             }
-            assertThat(proxy.events).noneMatch(Arrival.class::isInstance);
+            assertThat(proxy.events).noneMatch(RequestArrived.class::isInstance);
         }
     }
 
@@ -306,7 +306,7 @@
     void patienceRunsOnWhileTheProxyIsHeldUp() throws Exception {
         var goOn = new CountDownLatch(1);
         try (var proxy = new Fixture((event, actions) -> {
-                    if (event instanceof Arrival a && a.id().equals("r1")) {
+                    if (event instanceof RequestArrived a && a.requestId().equals("r1")) {
                         Peer.await(goOn);
                     }
                 });
@@ -314,14 +314,14 @@
                 var two = proxy.client()) {
             two.send("GET /ready HTTP/1.1\r\n\r\n").read();
             one.send(Fixture.get("r1"));
-            proxy.next(Arrival.class);
+            proxy.next(RequestArrived.class);
             two.send(Fixture.get("r2"));
             long sent = System.nanoTime();
             while (System.nanoTime() - sent < 400_000_000) {
                 Thread.sleep(10);
             }
             goOn.countDown();
-            assertThat(proxy.next(Arrival.class).leftUs()).isLessThan(1_500_000);
+            assertThat(proxy.next(RequestArrived.class).timeoutUs()).isLessThan(1_500_000);
         }
     }
 
@@ -352,7 +352,7 @@
             assertThat(client.read().status()).isEqualTo(429);
             assertThat(client.read().status()).isEqualTo(429);
             assertThat(client.ended()).isTrue();
-            assertThat(proxy.events).noneMatch(Arrival.class::isInstance);
+            assertThat(proxy.events).noneMatch(RequestArrived.class::isInstance);
         }
     }
 
@@ -378,17 +378,17 @@
         try (var proxy = new Fixture(SILENT)) {
             try (var client = proxy.client()) {
                 client.send(Fixture.get("r1"));
-                assertThat(proxy.next(Arrival.class).id()).isEqualTo("r1");
+                assertThat(proxy.next(RequestArrived.class).requestId()).isEqualTo("r1");
             }
-            assertThat(proxy.next(ClientGone.class).id()).isEqualTo("r1");
+            assertThat(proxy.next(ClientDisconnected.class).requestId()).isEqualTo("r1");
         }
     }
 
     @Test
     void aRefusalTellsWhenToComeBack() throws Exception {
         try (var proxy = new Fixture((event, actions) -> {
-                    if (event instanceof Arrival a) {
-                        actions.accept(new Refuse(a.id(), a.id().equals("r1") ? 250_000 : 0));
+                    if (event instanceof RequestArrived a) {
+                        actions.accept(new Reject(a.requestId(), a.requestId().equals("r1") ? 250_000 : 0));
                     }
                 });
                 var client = proxy.client()) {
@@ -405,9 +405,9 @@
     @Test
     void answersInOrderAndOnce() throws Exception {
         try (var proxy = new Fixture((event, actions) -> {
-                    if (event instanceof Arrival a) {
-                        actions.accept(new Refuse(a.id(), 0));
-                        actions.accept(new Fail(a.id()));
+                    if (event instanceof RequestArrived a) {
+                        actions.accept(new Reject(a.requestId(), 0));
+                        actions.accept(new Fail(a.requestId()));
                     }
                 });
                 var client = proxy.client()) {
@@ -424,7 +424,7 @@
                 var one = proxy.client();
                 var two = proxy.client()) {
             one.send(Fixture.get("r1"));
-            proxy.next(Arrival.class);
+            proxy.next(RequestArrived.class);
             assertThat(two.send(Fixture.get("r1")).read().status()).isEqualTo(409);
         }
     }
--- a/src/test/java/beechfall/proxy/LeavingTest.java
+++ b/src/test/java/beechfall/proxy/LeavingTest.java
@@ -2,11 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Action.Send;
-import beechfall.Event.Arrival;
+import beechfall.Action.StartAttempt;
+import beechfall.AttemptOutcome;
 import beechfall.Event.AttemptEnded;
-import beechfall.Event.ClientGone;
-import beechfall.Outcome;
+import beechfall.Event.ClientDisconnected;
+import beechfall.Event.RequestArrived;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -65,11 +65,11 @@
     void noAttemptBeginsWhereTheCloseLiesUnread(String id, String how) throws Exception {
         var release = new CountDownLatch(1);
         Fixture.Module module = (event, actions) -> {
-            if (event instanceof Arrival a && !a.id().equals("r2")) {
-                actions.accept(new Send(a.id(), "s0", 0));
-            } else if (event instanceof AttemptEnded e && e.outcome() == Outcome.ERROR) {
+            if (event instanceof RequestArrived a && !a.requestId().equals("r2")) {
+                actions.accept(new StartAttempt(a.requestId(), "s0", 0));
+            } else if (event instanceof AttemptEnded e && e.outcome() == AttemptOutcome.ERROR) {
                 hold(release);
-                actions.accept(new Send(id, "s0", 0));
+                actions.accept(new StartAttempt(id, "s0", 0));
             }
         };
         try (var backend = new Peer();
@@ -79,7 +79,7 @@
             Wire attempt = backend.accept();
             attempt.read();
             queued.send(Fixture.patient("r2"));
-            while (!proxy.next(Arrival.class).id().equals("r2")) {
+            while (!proxy.next(RequestArrived.class).requestId().equals("r2")) {
                 // the one before
             }
             try {
@@ -92,11 +92,11 @@
             try (var next = proxy.client()) {
                 next.send(Fixture.patient("next"));
                 assertThat(attempt.read().header("X-Request-ID")).isEqualTo("next");
-                assertThat(proxy.next(ClientGone.class).id()).isEqualTo(id);
+                assertThat(proxy.next(ClientDisconnected.class).requestId()).isEqualTo(id);
                 AttemptEnded end = proxy.next(AttemptEnded.class);
-                assertThat(end.id()).isEqualTo(id);
-                assertThat(end.outcome()).isEqualTo(Outcome.NOT_SENT);
-                assertThat(end.last()).isTrue();
+                assertThat(end.requestId()).isEqualTo(id);
+                assertThat(end.outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
+                assertThat(end.requestEnded()).isTrue();
             }
         }
     }
@@ -108,7 +108,7 @@
     void nothingIsWrittenToANewConnectionWhereTheCloseLiesUnread(String how) throws Exception {
         var release = new CountDownLatch(1);
         Fixture.Module module = (event, actions) -> {
-            if (event instanceof Arrival a && a.id().equals("hold")) {
+            if (event instanceof RequestArrived a && a.requestId().equals("hold")) {
                 hold(release);
             } else {
                 Fixture.sendTo("s0").handle(event, actions);
@@ -118,12 +118,12 @@
                 var proxy = new Fixture(module, knowing(backend));
                 var client = proxy.client().send(Fixture.patient("r1"));
                 var holding = proxy.client()) {
-            proxy.next(Arrival.class);
+            proxy.next(RequestArrived.class);
             proxy.settle();
             Wire attempt;
             try {
                 holding.send(Fixture.patient("hold"));
-                proxy.next(Arrival.class);
+                proxy.next(RequestArrived.class);
                 attempt = backend.admit();
                 leaveUnread(client, how);
             } finally {
@@ -132,7 +132,7 @@
             try (attempt) {
                 assertThat(attempt.ended()).isTrue();
             }
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.NOT_SENT);
+            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
         }
     }
 
@@ -146,10 +146,10 @@
             var attempts = new ArrayList<Wire>();
             for (int i = 0; clients.size() < proxy.sends.size() + 2; i++) {
                 clients.add(proxy.client().send(Fixture.patient("r" + i)));
-                proxy.next(Arrival.class);
+                proxy.next(RequestArrived.class);
                 proxy.settle();
             }
-            List<String> sent = proxy.sends.stream().map(s -> s.id()).toList();
+            List<String> sent = proxy.sends.stream().map(s -> s.requestId()).toList();
             for (int i = 0; i < sent.size(); i++) {
                 attempts.add(backend.accept());
             }
@@ -158,7 +158,7 @@
                 waiting++;
             }
             leave(clients.get(waiting), reset);
-            assertThat(proxy.next(ClientGone.class).id()).isEqualTo("r" + waiting);
+            assertThat(proxy.next(ClientDisconnected.class).requestId()).isEqualTo("r" + waiting);
             var served = new ArrayList<String>(sent);
             for (int i = 0; i < attempts.size(); i++) {
                 Wire attempt = attempts.get(i);
@@ -167,7 +167,7 @@
                 proxy.next(AttemptEnded.class);
                 proxy.settle();
                 while (served.size() < proxy.sends.size()) {
-                    served.add(List.copyOf(proxy.sends).get(served.size()).id());
+                    served.add(List.copyOf(proxy.sends).get(served.size()).requestId());
                     attempts.add(backend.accept());
                 }
             }
@@ -196,12 +196,12 @@
                 var client = proxy.client()) {
             proxy.list(Fixture.entry("s1", full.address(), "ready"));
             client.send(Fixture.patient("r1"));
-            proxy.next(Arrival.class);
+            proxy.next(RequestArrived.class);
             leave(client, reset);
-            assertThat(proxy.next(ClientGone.class).id()).isEqualTo("r1");
+            assertThat(proxy.next(ClientDisconnected.class).requestId()).isEqualTo("r1");
             AttemptEnded end = proxy.next(AttemptEnded.class);
-            assertThat(end.outcome()).isEqualTo(Outcome.NOT_SENT);
-            assertThat(end.last()).isTrue();
+            assertThat(end.outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
+            assertThat(end.requestEnded()).isTrue();
             proxy.settle();
             assertThat(proxy.held()).isZero();
         }
@@ -213,17 +213,17 @@
         try (var full = new FullBacklog();
                 var proxy = new Fixture(
                         (event, actions) -> {
-                            if (event instanceof Arrival a) {
-                                actions.accept(new Send(a.id(), "unknown", 0));
-                            } else if (event instanceof AttemptEnded e && !e.last()) {
-                                actions.accept(new Send(e.id(), "s0", 0));
+                            if (event instanceof RequestArrived a) {
+                                actions.accept(new StartAttempt(a.requestId(), "unknown", 0));
+                            } else if (event instanceof AttemptEnded e && !e.requestEnded()) {
+                                actions.accept(new StartAttempt(e.requestId(), "s0", 0));
                             }
                         },
                         knowing(full))) {
             Wire client = proxy.client().send(Fixture.patient("r1"));
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.NOT_SENT);
+            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
             client.close();
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(Outcome.NOT_SENT);
+            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
             Peer.until(() -> proxy.held() == 0);
         }
     }
@@ -240,11 +240,11 @@
                 attempt = backend.accept();
                 attempt.read();
             }
-            proxy.next(ClientGone.class);
+            proxy.next(ClientDisconnected.class);
             attempt.send(Peer.ok("x"));
             AttemptEnded end = proxy.next(AttemptEnded.class);
-            assertThat(end.outcome()).isEqualTo(Outcome.OK);
-            assertThat(end.last()).isTrue();
+            assertThat(end.outcome()).isEqualTo(AttemptOutcome.SUCCESS);
+            assertThat(end.requestEnded()).isTrue();
             proxy.settle();
             assertThat(proxy.held()).isZero();
         }
@@ -257,7 +257,7 @@
         try (var proxy = new Fixture(SILENT);
                 var client = proxy.client()) {
             client.send(Fixture.patient("r1") + "RUBBISH\r\n\r\n");
-            proxy.next(Arrival.class);
+            proxy.next(RequestArrived.class);
             String more = "x".repeat(65_536);
             try {
                 for (int i = 0; i < 16; i++) {
@@ -267,7 +267,7 @@
                 // It may be cut off before all of it is written.
             }
             leave(client, reset);
-            assertThat(proxy.next(ClientGone.class).id()).isEqualTo("r1");
+            assertThat(proxy.next(ClientDisconnected.class).requestId()).isEqualTo("r1");
             Peer.until(() -> proxy.connected() == 0);
         }
     }
@@ -283,7 +283,7 @@
             client.socket.shutdownOutput();
             assertThat(client.read().status()).isEqualTo(502);
             assertThat(client.ended()).isTrue();
-            assertThat(proxy.next(ClientGone.class).id()).isEqualTo("r1");
+            assertThat(proxy.next(ClientDisconnected.class).requestId()).isEqualTo("r1");
         }
     }
 
@@ -293,12 +293,12 @@
         try (var proxy = new Fixture(SILENT);
                 var client = proxy.client()) {
             client.send(Fixture.patient("r1") + Fixture.patient("r2"));
-            proxy.next(Arrival.class);
+            proxy.next(RequestArrived.class);
             client.socket.shutdownOutput();
             assertThat(client.read().status()).isEqualTo(502);
             assertThat(client.read().status()).isEqualTo(503);
             assertThat(client.ended()).isTrue();
-            assertThat(proxy.events).noneMatch(Arrival.class::isInstance);
+            assertThat(proxy.events).noneMatch(RequestArrived.class::isInstance);
         }
     }
 }
--- a/src/test/java/beechfall/proxy/ProxyTest.java
+++ b/src/test/java/beechfall/proxy/ProxyTest.java
@@ -2,14 +2,14 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Action.Cancel;
-import beechfall.Action.Send;
+import beechfall.Action.CancelAttempt;
 import beechfall.Action.SetTimer;
-import beechfall.Event.Arrival;
+import beechfall.Action.StartAttempt;
+import beechfall.AttemptOutcome;
 import beechfall.Event.AttemptEnded;
-import beechfall.Event.ClientGone;
+import beechfall.Event.ClientDisconnected;
+import beechfall.Event.RequestArrived;
 import beechfall.Event.TimerFired;
-import beechfall.Outcome;
 import org.junit.jupiter.api.Test;
 
 /** What the proxy does round the module, whatever the module does. */
@@ -24,7 +24,7 @@
                     client.send(Fixture.get("r1").replace("1900m", "300000u")).read();
             assertThat(answer.status()).isEqualTo(502);
             assertThat(System.nanoTime() - sent).isGreaterThan(200_000_000L);
-            assertThat(proxy.next(ClientGone.class).id()).isEqualTo("r1");
+            assertThat(proxy.next(ClientDisconnected.class).requestId()).isEqualTo("r1");
         }
     }
 
@@ -33,7 +33,8 @@
         try (var backend = new Peer();
                 var proxy = new Fixture(
                         (event, actions) -> {
-                            if (event instanceof Arrival a && a.id().equals("bad")) {
+                            if (event instanceof RequestArrived a
+                                    && a.requestId().equals("bad")) {
                                 throw new IllegalStateException("as the test wants it");
                             }
                             Fixture.sendTo("s0").handle(event, actions);
@@ -52,10 +53,10 @@
         try (var backend = new Peer();
                 var proxy = new Fixture(
                         (event, actions) -> {
-                            if (event instanceof Arrival a) {
-                                actions.accept(new Send(a.id(), "s0", 0));
-                                actions.accept(new Send(a.id(), "s0", 0));
-                                actions.accept(new Send(a.id(), "unknown", 0));
+                            if (event instanceof RequestArrived a) {
+                                actions.accept(new StartAttempt(a.requestId(), "s0", 0));
+                                actions.accept(new StartAttempt(a.requestId(), "s0", 0));
+                                actions.accept(new StartAttempt(a.requestId(), "unknown", 0));
                             }
                         },
                         backend);
@@ -64,12 +65,12 @@
             for (int number = 1; number <= 2; number++) {
                 AttemptEnded end = proxy.next(AttemptEnded.class);
                 assertThat(end.attempt()).isEqualTo(number);
-                assertThat(end.outcome()).isEqualTo(Outcome.NOT_SENT);
-                assertThat(end.last()).isFalse();
+                assertThat(end.outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
+                assertThat(end.requestEnded()).isFalse();
             }
             first.send(Peer.ok("x"));
             assertThat(client.read().status()).isEqualTo(200);
-            assertThat(proxy.next(AttemptEnded.class).last()).isTrue();
+            assertThat(proxy.next(AttemptEnded.class).requestEnded()).isTrue();
         }
     }
 
@@ -78,8 +79,8 @@
         try (var backend = new Peer();
                 var proxy = new Fixture(
                         (event, actions) -> {
-                            if (event instanceof ClientGone g) {
-                                actions.accept(new Cancel(g.id(), 0));
+                            if (event instanceof ClientDisconnected g) {
+                                actions.accept(new CancelAttempt(g.requestId(), 0));
                             }
                             Fixture.sendTo("s0").handle(event, actions);
                         },
@@ -92,8 +93,8 @@
             }
             assertThat(attempt.ended()).isTrue();
             AttemptEnded end = proxy.next(AttemptEnded.class);
-            assertThat(end.outcome()).isEqualTo(Outcome.CANCELLED);
-            assertThat(end.last()).isTrue();
+            assertThat(end.outcome()).isEqualTo(AttemptOutcome.CANCELLED);
+            assertThat(end.requestEnded()).isTrue();
         }
     }
 
--- a/src/test/java/beechfall/proxy/ServeTest.java
+++ b/src/test/java/beechfall/proxy/ServeTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Action.Refuse;
-import beechfall.Event.Arrival;
+import beechfall.Action.Reject;
 import beechfall.Event.AttemptEnded;
+import beechfall.Event.RequestArrived;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -148,7 +148,8 @@
         try (var backend = new Peer();
                 var proxy = new Fixture(
                         (event, actions) -> {
-                            if (!(event instanceof Arrival a) || !a.id().startsWith("held")) {
+                            if (!(event instanceof RequestArrived a)
+                                    || !a.requestId().startsWith("held")) {
                                 Fixture.sendTo("s0").handle(event, actions);
                             }
                         },
@@ -165,7 +166,7 @@
                     Wire client = proxy.client();
                     clients.add(client);
                     client.send(Fixture.get("held" + i));
-                    proxy.next(Arrival.class);
+                    proxy.next(RequestArrived.class);
                 }
             } else {
                 Wire idle = proxy.client();
@@ -196,7 +197,7 @@
             proxy.next(AttemptEnded.class);
             slow.send(Fixture.get("behind"));
             proxy.settle();
-            assertThat(proxy.events).noneMatch(Arrival.class::isInstance);
+            assertThat(proxy.events).noneMatch(RequestArrived.class::isInstance);
             readAll(slow, MORE_THAN_THE_KERNEL_HOLDS);
             assertThat(slow.ended()).isTrue();
         }
@@ -219,7 +220,7 @@
             readAll(slow, MORE_THAN_THE_KERNEL_HOLDS);
             assertThat(slow.ended()).isTrue();
             drained.get(10, TimeUnit.SECONDS);
-            assertThat(proxy.events).noneMatch(Arrival.class::isInstance);
+            assertThat(proxy.events).noneMatch(RequestArrived.class::isInstance);
         }
     }
 
@@ -233,9 +234,10 @@
         try (var backend = new Peer();
                 var proxy = new Fixture(
                         (event, actions) -> {
-                            if (event instanceof Arrival a && a.id().equals("last")) {
+                            if (event instanceof RequestArrived a
+                                    && a.requestId().equals("last")) {
                                 Peer.await(goOn);
-                                actions.accept(new Refuse(a.id(), 0));
+                                actions.accept(new Reject(a.requestId(), 0));
                             } else {
                                 Fixture.sendTo("s0").handle(event, actions);
                             }
@@ -245,14 +247,14 @@
             backend.always(Peer.ok(LONGEST_BODY));
             leaveUnread(proxy, slow, answers);
             slow.send(Fixture.get("last").replace("Host:", "Connection: close\r\nHost:"));
-            proxy.next(Arrival.class);
+            proxy.next(RequestArrived.class);
             slow.send(Fixture.get("behind"));
             goOn.countDown();
             proxy.settle();
             readAll(slow, answers);
             assertThat(slow.read().status()).isEqualTo(503);
             assertThat(slow.ended()).isTrue();
-            assertThat(proxy.events).noneMatch(Arrival.class::isInstance);
+            assertThat(proxy.events).noneMatch(RequestArrived.class::isInstance);
             // It stays, but nobody waits for it.
             Peer.until(() -> proxy.connected() == 0);
         }
@@ -313,7 +315,7 @@
         try (var proxy = new Fixture((event, actions) -> {}, 128, 15_000_000)) {
             for (int i = 0; i < 40; i++) {
                 crowd.add(proxy.client().send(Fixture.get("r" + i)));
-                proxy.next(Arrival.class);
+                proxy.next(RequestArrived.class);
             }
             Wire more = proxy.client();
             crowd.add(more);
@@ -332,7 +334,8 @@
         try (var backend = new Peer();
                 var proxy = new Fixture(
                         (event, actions) -> {
-                            if (event instanceof Arrival a && a.id().startsWith("last")) {
+                            if (event instanceof RequestArrived a
+                                    && a.requestId().startsWith("last")) {
                                 Fixture.sendTo("s0").handle(event, actions);
                             }
                         },
--- a/src/test/java/beechfall/wire/HostTest.java
+++ b/src/test/java/beechfall/wire/HostTest.java
@@ -3,18 +3,18 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import beechfall.Action;
-import beechfall.Backend;
-import beechfall.Effect;
+import beechfall.AttemptOutcome;
+import beechfall.BalancerSettings;
+import beechfall.DeduplicationScope;
+import beechfall.Endpoint;
+import beechfall.EndpointState;
 import beechfall.Event;
+import beechfall.Idempotency;
 import beechfall.Limits;
-import beechfall.ListKind;
-import beechfall.Outcome;
 import beechfall.RequestClass;
-import beechfall.Rules;
-import beechfall.Scope;
-import beechfall.Settings;
-import beechfall.State;
+import beechfall.SafetyLimits;
 import beechfall.Tenant;
+import beechfall.UpdateKind;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -45,7 +45,7 @@
 
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream errors = new ByteArrayOutputStream();
-    private final List<Settings> settings = new ArrayList<>();
+    private final List<BalancerSettings> settings = new ArrayList<>();
     private final List<Event> events = new ArrayList<>();
     private final List<Action> actions = new ArrayList<>();
 
@@ -88,17 +88,25 @@
     void readsSettings() throws IOException {
         assertThat(run(batch(UP))).isZero();
         assertThat(settings)
-                .containsExactly(new Settings(
+                .containsExactly(new BalancerSettings(
                         3,
                         2,
                         "skoyen",
                         4000,
-                        List.of(new RequestClass("pay", 400000, 2000000, 10, 0, Effect.KEYED, Scope.ZONE, 1200000)),
+                        List.of(new RequestClass(
+                                "pay",
+                                400000,
+                                2000000,
+                                10,
+                                0,
+                                Idempotency.IDEMPOTENT_WITH_KEY,
+                                DeduplicationScope.ZONE,
+                                1200000)),
                         List.of(new Tenant("vest", 277)),
                         0.05,
                         true,
                         new Limits(true, false, false, true, 4, 2000000, 150000),
-                        new Rules(0.4, 8100000, 4, 1000000, 10000000, true),
+                        new SafetyLimits(0.4, 8100000, 4, 1000000, 10000000, true),
                         5192));
     }
 
@@ -124,31 +132,31 @@
                 .isZero();
         assertThat(events)
                 .containsExactly(
-                        new Event.Members(
-                                ListKind.CACHED,
-                                List.of(new Backend("10.1.1.1:80", State.READY, "std-1", "ulven", 2, 7, 1.5))),
-                        new Event.Arrival("t/1", "pay", "vest", "user:k", 240000, true),
-                        new Event.AttemptEnded("t/1", 0, "10.1.1.1:80", Outcome.FULL, 18500, false),
+                        new Event.EndpointUpdate(
+                                UpdateKind.CACHED,
+                                List.of(new Endpoint("10.1.1.1:80", EndpointState.READY, "std-1", "ulven", 2, 7, 1.5))),
+                        new Event.RequestArrived("t/1", "pay", "vest", "user:k", 240000, true),
+                        new Event.AttemptEnded("t/1", 0, "10.1.1.1:80", AttemptOutcome.REJECTED, 18500, false),
                         new Event.StreamStarted("t/1", 1),
-                        new Event.ClientGone("t/1"),
-                        new Event.ProbeEnded("10.1.1.1:80", Outcome.OK, 14),
+                        new Event.ClientDisconnected("t/1"),
+                        new Event.HealthCheckEnded("10.1.1.1:80", AttemptOutcome.SUCCESS, 14),
                         new Event.TimerFired("x"));
     }
 
     @Test
     void writesEveryAction() throws IOException {
         actions.addAll(List.of(
-                new Action.Send("t/1", "b:1", 80),
+                new Action.StartAttempt("t/1", "b:1", 80),
                 new Action.SetTimer(90, "q"),
-                new Action.Refuse("t/1", 0),
-                new Action.Refuse("t/2", 5),
+                new Action.Reject("t/1", 0),
+                new Action.Reject("t/2", 5),
                 new Action.Fail("t/3"),
-                new Action.Cancel("t/1", 2),
-                new Action.Probe("b:1"),
-                new Action.Watch(true),
-                new Action.Fetch(),
-                new Action.Release("b:1"),
-                new Action.Log("two\nlines")));
+                new Action.CancelAttempt("t/1", 2),
+                new Action.CheckHealth("b:1"),
+                new Action.WatchEndpoints(true),
+                new Action.FetchEndpoints(),
+                new Action.CloseIdleConnections("b:1"),
+                new Action.LogMessage("two\nlines")));
         assertThat(run(batch(UP, "deadline_hit who=3 ctx=x\n"))).isZero();
         assertThat(written()).isEqualTo("""
                 relay who=3 op_id=t/1 backend=b:1 max_wait_us=80
