--- a/src/main/java/beechfall/Main.java
+++ b/src/main/java/beechfall/Main.java
@@ -1,6 +1,6 @@
 package beechfall;
 
-import beechfall.proxy.Serve;
+import beechfall.proxy.ProxyServer;
 import java.io.IOException;
 
 /**
@@ -19,9 +19,9 @@
     public static void main(String[] args) throws IOException {
         String command = args.length == 1 ? args[0] : "";
         switch (command) {
-            case "serve" -> Serve.main(args);
-            case "train" -> Serve.train();
-            case "drill" -> beechfall.wire.Main.main(args);
+            case "serve" -> ProxyServer.main(args);
+            case "train" -> ProxyServer.train();
+            case "drill" -> beechfall.wire.SimulatorCommand.main(args);
             default -> {
                 System.err.println("usage: java -jar beechfall.jar serve|train|drill");
                 System.exit(2);
--- a/src/main/java/beechfall/proxy/ClientConnection.java
+++ b/src/main/java/beechfall/proxy/ClientConnection.java
@@ -49,7 +49,7 @@
 
     private final Frontend frontend;
     private final Queue<ClientExchange> waiting = new ArrayDeque<>();
-    private final Framing.Requests decoder = new Framing.Requests();
+    private final Framing.StrictRequestDecoder decoder = new Framing.StrictRequestDecoder();
     Channel channel;
     ClientExchange exchange;
     private long firstByteAt = -1;
--- a/src/main/java/beechfall/proxy/ClientExchange.java
+++ b/src/main/java/beechfall/proxy/ClientExchange.java
@@ -18,7 +18,7 @@
 import java.util.regex.Pattern;
 
 /** A request and its one answer. */
-final class ClientExchange implements Proxy.Reply {
+final class ClientExchange implements RequestDispatcher.ResponseSink {
     private static final Pattern TIMEOUT = Pattern.compile("(\\d{1,8})([mu])");
     /** An answer is on its way for a moment, and the proxy may be late by a few milliseconds. */
     private static final long ON_ITS_WAY_US = 8_000;
@@ -41,10 +41,10 @@
             return;
         }
         if (connection.left) {
-            refused(0);
+            rejected(0);
             return;
         }
-        Proxy.Incoming incoming;
+        RequestDispatcher.ClientRequest incoming;
         try {
             var uri = new QueryStringDecoder(request.uri());
             if (uri.rawPath().equals("/ready")) {
@@ -63,7 +63,7 @@
             return;
         }
         id = incoming.id();
-        frontend.proxy.arrived(incoming, this);
+        frontend.proxy.requestArrived(incoming, this);
     }
 
     /** The connection ends with this: on one that is kept, rubbish would come again at the speed of its answers. */
@@ -72,45 +72,45 @@
         connection.rejected(answer);
     }
 
-    private Proxy.Incoming incoming(QueryStringDecoder uri) throws Rejected {
+    private RequestDispatcher.ClientRequest incoming(QueryStringDecoder uri) throws Rejected {
         if (!uri.rawPath().equals("/api") && !uri.rawPath().startsWith("/api/")) {
             throw new Rejected(HttpResponseStatus.NOT_FOUND, "no such path");
         }
         HttpHeaders headers = request.headers();
-        String requestClass = header(headers, Headers.REQUEST_CLASS);
+        String requestClass = header(headers, ProtocolHeaders.REQUEST_CLASS);
         Idempotency effect = frontend.effects.get(requestClass);
         if (effect == null) {
-            throw new Rejected(HttpResponseStatus.BAD_REQUEST, "unknown " + Headers.REQUEST_CLASS);
+            throw new Rejected(HttpResponseStatus.BAD_REQUEST, "unknown " + ProtocolHeaders.REQUEST_CLASS);
         }
         HttpMethod wanted = effect == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
         if (!request.method().equals(wanted)) {
             throw new Rejected(HttpResponseStatus.METHOD_NOT_ALLOWED, "this class is asked for with " + wanted);
         }
         if (effect == Idempotency.IDEMPOTENT_WITH_KEY) {
-            header(headers, Headers.IDEMPOTENCY_KEY);
+            header(headers, ProtocolHeaders.IDEMPOTENCY_KEY);
         }
         String tenant = null;
         if (!frontend.tenants.isEmpty()) {
-            tenant = header(headers, Headers.TENANT);
+            tenant = header(headers, ProtocolHeaders.TENANT);
             if (!frontend.tenants.contains(tenant)) {
-                throw new Rejected(HttpResponseStatus.BAD_REQUEST, "unknown " + Headers.TENANT);
+                throw new Rejected(HttpResponseStatus.BAD_REQUEST, "unknown " + ProtocolHeaders.TENANT);
             }
         }
-        String requestId = header(headers, Headers.REQUEST_ID);
-        if (frontend.proxy.knows(requestId)) {
+        String requestId = header(headers, ProtocolHeaders.REQUEST_ID);
+        if (frontend.proxy.isServing(requestId)) {
             throw new Rejected(HttpResponseStatus.CONFLICT, "a request with this id is being served");
         }
         List<String> keys = uri.parameters().get("k");
-        long patienceUs = patienceUs(header(headers, Headers.TIMEOUT));
+        long patienceUs = patienceUs(header(headers, ProtocolHeaders.TIMEOUT));
         long deadline = firstByteAt + patienceUs - Math.min(ON_ITS_WAY_US, patienceUs / 10);
-        return new Proxy.Incoming(
+        return new RequestDispatcher.ClientRequest(
                 requestId,
                 requestClass,
                 tenant,
                 keys == null ? null : keys.get(0),
-                "1".equals(headers.get(Headers.RETRIED)),
+                "1".equals(headers.get(ProtocolHeaders.RETRIED)),
                 deadline,
-                new Backends.Outgoing(request.method(), request.uri(), headers, request.content()));
+                new UpstreamClient.UpstreamRequest(request.method(), request.uri(), headers, request.content()));
     }
 
     private static String header(HttpHeaders headers, String name) throws Rejected {
@@ -124,7 +124,7 @@
     private static long patienceUs(String text) throws Rejected {
         Matcher m = TIMEOUT.matcher(text);
         if (!m.matches() || Long.parseLong(m.group(1)) == 0) {
-            throw new Rejected(HttpResponseStatus.BAD_REQUEST, "bad " + Headers.TIMEOUT);
+            throw new Rejected(HttpResponseStatus.BAD_REQUEST, "bad " + ProtocolHeaders.TIMEOUT);
         }
         return Long.parseLong(m.group(1)) * (m.group(2).equals("m") ? 1_000 : 1);
     }
@@ -137,15 +137,15 @@
     }
 
     @Override
-    public void served(Backends.Answer served) {
+    public void served(UpstreamClient.UpstreamResponse served) {
         var answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, served.body());
-        Headers.copyEndToEnd(served.headers(), answer.headers());
+        ProtocolHeaders.copyEndToEnd(served.headers(), answer.headers());
         HttpUtil.setContentLength(answer, served.body().readableBytes());
         answer(answer);
     }
 
     @Override
-    public void refused(long retryAfterUs) {
+    public void rejected(long retryAfterUs) {
         FullHttpResponse answer =
                 ClientConnection.plain(HttpResponseStatus.SERVICE_UNAVAILABLE, "not now; trying again is harmless");
         if (retryAfterUs > 0) {
@@ -175,7 +175,7 @@
     /** Its client has left, but may still listen. One that has not begun is answered in its turn. */
     void giveUp() {
         if (id != null) {
-            frontend.proxy.clientGone(id);
+            frontend.proxy.clientDisconnected(id);
             failed();
         }
     }
@@ -183,7 +183,7 @@
     void clientGone() {
         request.release();
         if (id != null) {
-            frontend.proxy.clientGone(id);
+            frontend.proxy.clientDisconnected(id);
         }
     }
 
--- a/src/main/java/beechfall/proxy/ConfigFileWatcher.java
+++ b/src/main/java/beechfall/proxy/ConfigFileWatcher.java
@@ -19,9 +19,9 @@
     static final long POLL_INTERVAL_MS = 200;
 
     private final Path file;
-    private final Consumer<Config> onChange;
+    private final Consumer<ProxyConfig> onChange;
     private final Consumer<Exception> onInvalid;
-    private Config current;
+    private ProxyConfig current;
     private FileState lastRead;
     private FileState confirmed;
     private FileState lastInvalid;
@@ -34,7 +34,7 @@
      * @param onChange receives each new valid configuration
      * @param onInvalid receives the reason why a state of the file can't be used, once for each state
      */
-    ConfigFileWatcher(Path file, Config current, Consumer<Config> onChange, Consumer<Exception> onInvalid) {
+    ConfigFileWatcher(Path file, ProxyConfig current, Consumer<ProxyConfig> onChange, Consumer<Exception> onInvalid) {
         this.file = file;
         this.current = current;
         this.onChange = onChange;
@@ -70,14 +70,14 @@
             return;
         }
         try {
-            Config config = Config.read(file);
+            ProxyConfig config = ProxyConfig.read(file);
             confirmed = state.equals(lastRead) ? state : null;
             lastRead = state;
             if (!config.equals(current)) {
                 current = config;
                 onChange.accept(config);
             }
-        } catch (Config.BadConfig | RuntimeException e) {
+        } catch (ProxyConfig.InvalidConfigException | RuntimeException e) {
             reject(state, e);
         }
     }
--- a/src/main/java/beechfall/proxy/DiscoveryCall.java
+++ b/src/main/java/beechfall/proxy/DiscoveryCall.java
@@ -62,7 +62,7 @@
     }
 
     private final Transport transport;
-    private final Log log;
+    private final RateLimitedLog log;
     private final InetSocketAddress address;
     private final Query query;
     private final Listener listener;
@@ -71,7 +71,7 @@
     private boolean answerStarted;
     private boolean ended;
 
-    DiscoveryCall(Transport transport, Log log, InetSocketAddress address, Query query, Listener listener) {
+    DiscoveryCall(Transport transport, RateLimitedLog log, InetSocketAddress address, Query query, Listener listener) {
         this.transport = transport;
         this.log = log;
         this.address = address;
--- a/src/main/java/beechfall/proxy/EndpointList.java
+++ b/src/main/java/beechfall/proxy/EndpointList.java
@@ -17,7 +17,7 @@
  * @param full whether it names all backends, or only those that have changed
  * @param endpoints the entries that can be read, in their order
  */
-record EndpointList(long version, boolean full, List<Backends.Listed> endpoints) {
+record EndpointList(long version, boolean full, List<UpstreamClient.ListedEndpoint> endpoints) {
     /** Stands for a list that this proxy does not have. */
     static final long NO_VERSION = -1;
 
@@ -43,10 +43,10 @@
      *
      * @throws MalformedListException if the document as a whole can't be read
      */
-    static EndpointList parse(InputStream document, Log log) throws MalformedListException {
+    static EndpointList parse(InputStream document, RateLimitedLog log) throws MalformedListException {
         JsonNode list;
         try {
-            list = Json.read(document);
+            list = JsonTrees.read(document);
         } catch (IOException e) {
             throw new MalformedListException("the answer is not JSON");
         }
@@ -62,15 +62,15 @@
     }
 
     /** Takes over the list that a proxy had in its last life, where there is one. */
-    static EndpointList cached(JsonNode list, Log log) {
-        JsonNode known = list == null ? Json.object() : list;
+    static EndpointList cached(JsonNode list, RateLimitedLog log) {
+        JsonNode known = list == null ? JsonTrees.object() : list;
         return new EndpointList(known.path("version").asLong(NO_VERSION), true, endpoints(known.path("servers"), log));
     }
 
-    private static List<Backends.Listed> endpoints(JsonNode entries, Log log) {
-        var endpoints = new ArrayList<Backends.Listed>(entries.size());
+    private static List<UpstreamClient.ListedEndpoint> endpoints(JsonNode entries, RateLimitedLog log) {
+        var endpoints = new ArrayList<UpstreamClient.ListedEndpoint>(entries.size());
         for (JsonNode entry : entries) {
-            Backends.Listed endpoint = endpoint(entry);
+            UpstreamClient.ListedEndpoint endpoint = endpoint(entry);
             if (endpoint == null) {
                 log.line("discovery: a malformed entry is left out: " + shortened(entry.toString()));
             } else {
@@ -84,15 +84,15 @@
         return text.length() <= LOGGED_CHARACTERS ? text : text.substring(0, LOGGED_CHARACTERS) + "...";
     }
 
-    private static Backends.Listed endpoint(JsonNode entry) {
+    private static UpstreamClient.ListedEndpoint endpoint(JsonNode entry) {
         EndpointState state = STATES.get(entry.path("state").asText());
-        InetSocketAddress address = Config.address(entry.path("addr").asText());
+        InetSocketAddress address = ProxyConfig.address(entry.path("addr").asText());
         String id = entry.path("id").asText();
         double weight = entry.path("weight").asDouble(DEFAULT_WEIGHT);
         if (state == null || address == null || id.isEmpty() || !(weight > 0) || Double.isInfinite(weight)) {
             return null;
         }
-        return new Backends.Listed(
+        return new UpstreamClient.ListedEndpoint(
                 new Endpoint(
                         id,
                         state,
--- a/src/main/java/beechfall/proxy/Discovery.java
+++ b/src/main/java/beechfall/proxy/EndpointWatcher.java
@@ -17,7 +17,7 @@
  * once. When one fails the watch is over, the module is told, and it is the module that asks again, later each time. An
  * agent on the proxy's own machine is asked again without the module.
  */
-final class Discovery implements DiscoveryCall.Listener {
+final class EndpointWatcher implements DiscoveryCall.Listener {
     /**
      * Time beyond its wait after which a call to a service has failed, in milliseconds. What it has to tell counts as told
      * 2 s after the wait (protocol page), and binds 1 s later: a call that is made anew may fail once within that.
@@ -46,8 +46,8 @@
 
     private final EventLoop loop;
     private final Transport transport;
-    private final Log log;
-    private final Proxy proxy;
+    private final RateLimitedLog log;
+    private final RequestDispatcher proxy;
     private final boolean pushed;
     private final long holdMs;
     private final long firstTimeoutMs;
@@ -62,7 +62,12 @@
 
     private long version = EndpointList.NO_VERSION;
 
-    Discovery(Transport transport, Log log, Proxy proxy, InetSocketAddress address, BalancerSettings settings) {
+    EndpointWatcher(
+            Transport transport,
+            RateLimitedLog log,
+            RequestDispatcher proxy,
+            InetSocketAddress address,
+            BalancerSettings settings) {
         this.loop = transport.loop();
         this.firstCallEnded = loop.newPromise();
         this.transport = transport;
@@ -91,10 +96,10 @@
     }
 
     /** Takes in the list that this proxy had in its last life, if any; the module begins with this. */
-    void known(JsonNode list) {
+    void loadCachedEndpoints(JsonNode list) {
         EndpointList cached = EndpointList.cached(list, log);
         version = cached.version();
-        proxy.members(UpdateKind.CACHED, cached.endpoints());
+        proxy.endpointsUpdated(UpdateKind.CACHED, cached.endpoints());
         if (pushed) {
             watch(true);
         }
@@ -172,7 +177,7 @@
             // One that answers at once without any news would be asked as fast as the CPU allows.
             loop.schedule(() -> continueWatch(answered), NO_NEWS_DELAY_MS, TimeUnit.MILLISECONDS);
         }
-        proxy.members(list.full() ? UpdateKind.SNAPSHOT : UpdateKind.DELTA, list.endpoints());
+        proxy.endpointsUpdated(list.full() ? UpdateKind.SNAPSHOT : UpdateKind.DELTA, list.endpoints());
         firstCallEnded.trySuccess(null);
     }
 
@@ -192,7 +197,7 @@
         if (pushed) {
             loop.schedule(this::retryAgent, AGENT_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         } else {
-            proxy.members(UpdateKind.POLL_FAILED, List.of());
+            proxy.endpointsUpdated(UpdateKind.POLL_FAILED, List.of());
         }
     }
 
--- a/src/main/java/beechfall/proxy/Framing.java
+++ b/src/main/java/beechfall/proxy/Framing.java
@@ -15,7 +15,7 @@
     private Framing() {}
 
     /** Decodes what clients send. */
-    static final class Requests extends HttpRequestDecoder {
+    static final class StrictRequestDecoder extends HttpRequestDecoder {
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
             throw twoLengths();
@@ -29,7 +29,7 @@
     }
 
     /** Decodes what a backend sends, and counts it. */
-    static final class Responses extends HttpResponseDecoder {
+    static final class StrictResponseDecoder extends HttpResponseDecoder {
         private long bytes;
 
         @Override
--- a/src/main/java/beechfall/proxy/Frontend.java
+++ b/src/main/java/beechfall/proxy/Frontend.java
@@ -22,8 +22,8 @@
     private static final long SWEEP_US = 100_000;
 
     final Clock clock;
-    final Log log;
-    final Proxy proxy;
+    final RateLimitedLog log;
+    final RequestDispatcher proxy;
     final ConnectionLimiter limiter;
     final BooleanSupplier ready;
     final Map<String, Idempotency> effects = new HashMap<>();
@@ -41,8 +41,8 @@
 
     Frontend(
             Clock clock,
-            Log log,
-            Proxy proxy,
+            RateLimitedLog log,
+            RequestDispatcher proxy,
             ConnectionLimiter limiter,
             BalancerSettings settings,
             BooleanSupplier ready) {
--- a/src/main/java/beechfall/proxy/GracefulShutdown.java
+++ b/src/main/java/beechfall/proxy/GracefulShutdown.java
@@ -23,14 +23,15 @@
     private static final long FAIL_BEFORE_EXIT_MS = 50;
 
     private final EventLoop loop;
-    private final Log log;
-    private final Config config;
+    private final RateLimitedLog log;
+    private final ProxyConfig config;
     private final Frontend frontend;
-    private final Proxy proxy;
+    private final RequestDispatcher proxy;
     private final CountDownLatch drained = new CountDownLatch(1);
     private volatile boolean begun;
 
-    GracefulShutdown(EventLoop loop, Log log, Config config, Frontend frontend, Proxy proxy) {
+    GracefulShutdown(
+            EventLoop loop, RateLimitedLog log, ProxyConfig config, Frontend frontend, RequestDispatcher proxy) {
         this.loop = loop;
         this.log = log;
         this.config = config;
--- a/src/main/java/beechfall/proxy/Json.java
+++ b/src/main/java/beechfall/proxy/JsonTrees.java
@@ -16,11 +16,11 @@
  * Puts what Jackson's parser reads into Jackson's nodes. Its {@code ObjectMapper} does the same, but sets up formats of
  * dates, locales and all that beans need first: a quarter of what a start costs.
  */
-final class Json {
+final class JsonTrees {
     private static final JsonFactory FACTORY = new JsonFactory();
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
-    private Json() {}
+    private JsonTrees() {}
 
     static ObjectNode object() {
         return NODES.objectNode();
--- a/src/main/java/beechfall/proxy/IdleLimit.java
+++ b/src/main/java/beechfall/proxy/LearnedIdleLimit.java
@@ -6,7 +6,7 @@
  * that the proxy can prove. So it is learned from what becomes of requests: where those sent after some idle time are
  * reset far more often than those sent sooner, no connection is kept for so long. What was seen fades, and is tried anew.
  */
-final class IdleLimit {
+final class LearnedIdleLimit {
     /** Idle times are told apart by steps of a factor of about 1.4, from a millisecond on. */
     private static final int STEPS = 40;
 
--- a/src/main/java/beechfall/proxy/Headers.java
+++ b/src/main/java/beechfall/proxy/ProtocolHeaders.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 
 /** The protocol's header names, and what of a message's headers goes on to the next hop. */
-final class Headers {
+final class ProtocolHeaders {
     static final String REQUEST_ID = "x-request-id";
     static final String REQUEST_CLASS = "x-priority-class";
     static final String TENANT = "x-tenant-id";
@@ -30,7 +30,7 @@
             "content-length",
             "expect");
 
-    private Headers() {}
+    private ProtocolHeaders() {}
 
     static void copyEndToEnd(HttpHeaders from, HttpHeaders to) {
         boolean named = from.contains(HttpHeaderNames.CONNECTION);
--- a/src/main/java/beechfall/proxy/Config.java
+++ b/src/main/java/beechfall/proxy/ProxyConfig.java
@@ -21,21 +21,21 @@
  * @param known the backends as this proxy last had them, in discovery's form; null where there are none
  * @param connIdleUs a backend closes a connection that has stood idle for so long
  */
-record Config(
+record ProxyConfig(
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
         int sockets,
-        JsonNode known,
+        JsonNode cachedEndpoints,
         BalancerSettings settings,
         long connIdleUs,
         long connectTimeoutUs) {
 
     /** A configuration that no proxy can run with; the message is for the operators and names the field. */
-    static final class BadConfig extends Exception {
+    static final class InvalidConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        BadConfig(String message) {
+        InvalidConfigException(String message) {
             super(message);
         }
     }
@@ -45,32 +45,33 @@
      * that comes back is missed meanwhile, and has no time for anything that can be left out.
      */
     boolean isFirstStart() {
-        return known == null || known.path("version").asLong() == 0;
+        return cachedEndpoints == null || cachedEndpoints.path("version").asLong() == 0;
     }
 
-    Config listeningAt(InetSocketAddress address) {
-        return new Config(name, address, discovery, sockets, known, settings, connIdleUs, connectTimeoutUs);
+    ProxyConfig listeningAt(InetSocketAddress address) {
+        return new ProxyConfig(
+                name, address, discovery, sockets, cachedEndpoints, settings, connIdleUs, connectTimeoutUs);
     }
 
-    static Config read(Path file) throws BadConfig {
+    static ProxyConfig read(Path file) throws InvalidConfigException {
         try (InputStream json = Files.newInputStream(file)) {
-            return parse(Json.read(json));
+            return parse(JsonTrees.read(json));
         } catch (JsonProcessingException e) {
-            throw new BadConfig("not JSON: " + e.getOriginalMessage());
+            throw new InvalidConfigException("not JSON: " + e.getOriginalMessage());
         } catch (IOException e) {
-            throw new BadConfig("cannot be read: " + e);
+            throw new InvalidConfigException("cannot be read: " + e);
         }
     }
 
-    static Config parse(JsonNode json) throws BadConfig {
+    static ProxyConfig parse(JsonNode json) throws InvalidConfigException {
         JsonNode settings = json.path("settings");
         if (!settings.isObject()) {
-            throw new BadConfig("'settings': an object is wanted");
+            throw new InvalidConfigException("'settings': an object is wanted");
         }
         var values = new HashMap<String, String>();
         flatten("", settings, values);
         try {
-            return new Config(
+            return new ProxyConfig(
                     text(json, "name"),
                     address(json, "listen"),
                     address(json, "discovery"),
@@ -80,7 +81,7 @@
                     SettingsReader.whole(values, "bounds.conn_idle_us"),
                     SettingsReader.whole(values, "bounds.connect_timeout_us"));
         } catch (IllegalArgumentException e) {
-            throw new BadConfig("'settings': " + e.getMessage());
+            throw new InvalidConfigException("'settings': " + e.getMessage());
         }
     }
 
@@ -99,36 +100,36 @@
         }
     }
 
-    private static String text(JsonNode json, String field) throws BadConfig {
+    private static String text(JsonNode json, String field) throws InvalidConfigException {
         String text = json.path(field).asText("");
         if (text.isEmpty()) {
-            throw new BadConfig("'" + field + "': missing");
+            throw new InvalidConfigException("'" + field + "': missing");
         }
         return text;
     }
 
-    private static InetSocketAddress address(JsonNode json, String field) throws BadConfig {
+    private static InetSocketAddress address(JsonNode json, String field) throws InvalidConfigException {
         String text = text(json, field);
         InetSocketAddress address = address(text);
         if (address == null) {
-            throw new BadConfig("'" + field + "': '" + text + "' is no address and port");
+            throw new InvalidConfigException("'" + field + "': '" + text + "' is no address and port");
         }
         return address;
     }
 
-    private static long seed(JsonNode json) throws BadConfig {
+    private static long seed(JsonNode json) throws InvalidConfigException {
         String text = text(json, "seed");
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
-            throw new BadConfig("'seed': '" + text + "' is no hexadecimal number of 64 bits");
+            throw new InvalidConfigException("'seed': '" + text + "' is no hexadecimal number of 64 bits");
         }
     }
 
-    private static int sockets(JsonNode json) throws BadConfig {
+    private static int sockets(JsonNode json) throws InvalidConfigException {
         JsonNode limit = json.path("limits").path("sockets");
         if (!limit.canConvertToInt() || limit.asInt() < 128) {
-            throw new BadConfig("'limits.sockets': a number of at least 128 is wanted");
+            throw new InvalidConfigException("'limits.sockets': a number of at least 128 is wanted");
         }
         return limit.asInt();
     }
--- a/src/main/java/beechfall/proxy/Serve.java
+++ b/src/main/java/beechfall/proxy/ProxyServer.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** Runs one real proxy: puts its parts together, reads a new configuration, and ends when it is told to. */
-public final class Serve {
+public final class ProxyServer {
     /** Standing page: a restarted process has to be ready within this time on a short day, in milliseconds. */
     static final long READY_WITHIN_MS = 6_000;
     /** The start of the Java runtime, of which a share of a core makes several times its usual time, in milliseconds. */
@@ -21,37 +21,37 @@
      * where the list has never changed can't be told from a first start, so the limit leaves time for all else that comes
      * before a process is ready.
      */
-    static final long WARMUP_LIMIT_MS = READY_WITHIN_MS - RUNTIME_START_MS - Discovery.FIRST_SERVICE_TIMEOUT_MS;
+    static final long WARMUP_LIMIT_MS = READY_WITHIN_MS - RUNTIME_START_MS - EndpointWatcher.FIRST_SERVICE_TIMEOUT_MS;
 
     private static final long TRAINING_LIMIT_MS = 60_000;
 
-    private final Config config;
+    private final ProxyConfig config;
     private final Transport transport;
-    private final Log log = new Log();
+    private final RateLimitedLog log = new RateLimitedLog();
     private final EventLoop loop;
-    private final Proxy proxy;
-    private final Discovery discovery;
+    private final RequestDispatcher proxy;
+    private final EndpointWatcher discovery;
     private final Frontend frontend;
     private final GracefulShutdown shutdown;
 
-    Serve(Config config) {
+    ProxyServer(ProxyConfig config) {
         this(config, new EarliestDeadlineLoadBalancer(config.settings()));
     }
 
-    Serve(Config config, LoadBalancer module) {
+    ProxyServer(ProxyConfig config, LoadBalancer module) {
         this(config, module, Transport.sockets());
     }
 
-    Serve(Config config, LoadBalancer module, Transport transport) {
+    ProxyServer(ProxyConfig config, LoadBalancer module, Transport transport) {
         this.config = config;
         this.transport = transport;
         loop = transport.loop();
         var clock = new Clock();
         var settings = config.settings();
         var limiter = new ConnectionLimiter(loop, config.sockets());
-        var backends = new Backends(clock, transport, limiter, config.connIdleUs(), config.connectTimeoutUs());
-        proxy = new Proxy(clock, loop, log, settings, module, backends);
-        discovery = new Discovery(transport, log, proxy, config.discovery(), settings);
+        var backends = new UpstreamClient(clock, transport, limiter, config.connIdleUs(), config.connectTimeoutUs());
+        proxy = new RequestDispatcher(clock, loop, log, settings, module, backends);
+        discovery = new EndpointWatcher(transport, log, proxy, config.discovery(), settings);
         proxy.discovery(discovery);
         frontend = new Frontend(
                 clock,
@@ -71,17 +71,17 @@
     public static void main(String[] args) {
         try {
             Path file = file();
-            Config config = Config.read(file);
+            ProxyConfig config = ProxyConfig.read(file);
             if (config.isFirstStart()) {
                 Warmup.run(config, WARMUP_LIMIT_MS);
             }
-            var serve = new Serve(config);
+            var serve = new ProxyServer(config);
             // Before it listens: without a handler either signal ends the process, whatever it has taken by then.
             Runtime.getRuntime().addShutdownHook(new Thread(serve::drainAndHalt, "drain"));
             serve.handleTermination();
             serve.handleReload(file);
             serve.start();
-        } catch (Config.BadConfig e) {
+        } catch (ProxyConfig.InvalidConfigException e) {
             exit(e);
         }
     }
@@ -89,27 +89,27 @@
     /** Loads what {@code serve} needs, and ends: the Java runtime keeps it in an archive for the starts to come. */
     public static void train() {
         try {
-            Config config = Config.read(file());
+            ProxyConfig config = ProxyConfig.read(file());
             Warmup.run(config, TRAINING_LIMIT_MS);
             SignalHandlers.install(SignalHandlers.RELOAD, () -> {});
             // On a port that is free: what it listens with and connects with is loaded too.
-            var serve = new Serve(config.listeningAt(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)));
+            var serve = new ProxyServer(config.listeningAt(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)));
             serve.listen().awaitUninterruptibly();
             serve.stop();
-        } catch (Config.BadConfig e) {
+        } catch (ProxyConfig.InvalidConfigException e) {
             exit(e);
         }
     }
 
-    private static Path file() throws Config.BadConfig {
+    private static Path file() throws ProxyConfig.InvalidConfigException {
         String file = System.getenv("PROXY_CONFIG");
         if (file == null || file.isEmpty()) {
-            throw new Config.BadConfig("PROXY_CONFIG is not set");
+            throw new ProxyConfig.InvalidConfigException("PROXY_CONFIG is not set");
         }
         return Path.of(file);
     }
 
-    private static void exit(Config.BadConfig e) {
+    private static void exit(ProxyConfig.InvalidConfigException e) {
         System.err.println("bad configuration: " + e.getMessage());
         // There is nobody to drain for.
         Runtime.getRuntime().halt(2);
@@ -143,7 +143,7 @@
     }
 
     ChannelFuture listen() {
-        loop.execute(() -> discovery.known(config.known()));
+        loop.execute(() -> discovery.loadCachedEndpoints(config.cachedEndpoints()));
         if (discovery.pushed()) {
             // What has changed since this proxy last ran binds from the first moment: no client is let in before it is
             // heard.
@@ -156,16 +156,17 @@
      * Begins to serve.
      *
      * @return the address, or empty where the process was told to end meanwhile: nobody is let in then
-     * @throws Config.BadConfig if the address can't be listened on
+     * @throws ProxyConfig.InvalidConfigException if the address can't be listened on
      */
-    Optional<InetSocketAddress> start() throws Config.BadConfig {
+    Optional<InetSocketAddress> start() throws ProxyConfig.InvalidConfigException {
         ChannelFuture bound = listen().awaitUninterruptibly();
         if (shutdown.hasBegun()) {
             bound.channel().close();
             return Optional.empty();
         }
         if (!bound.isSuccess()) {
-            throw new Config.BadConfig("'listen': " + bound.cause().getMessage());
+            throw new ProxyConfig.InvalidConfigException(
+                    "'listen': " + bound.cause().getMessage());
         }
         var address = (InetSocketAddress) bound.channel().localAddress();
         loop.execute(() -> log.line(config.name() + ": listening on " + address.getPort()
@@ -179,14 +180,14 @@
      */
     synchronized void reload(Path file) {
         try {
-            apply(Config.read(file));
-        } catch (Config.BadConfig e) {
+            apply(ProxyConfig.read(file));
+        } catch (ProxyConfig.InvalidConfigException e) {
             rejectConfig(e);
         }
     }
 
     /** Takes over the address of discovery; all else holds until the next start. */
-    private void apply(Config changed) {
+    private void apply(ProxyConfig changed) {
         InetSocketAddress address = changed.discovery();
         loop.execute(() -> {
             log.line(config.name() + ": new configuration, discovery is at " + address);
@@ -205,7 +206,7 @@
 
     /** Returns the number of requests that want an answer or have attempts out. */
     int held() {
-        return proxy.open();
+        return proxy.openRequests();
     }
 
     /** Returns the number of clients' connections. */
--- a/src/main/java/beechfall/proxy/Log.java
+++ b/src/main/java/beechfall/proxy/RateLimitedLog.java
@@ -1,7 +1,7 @@
 package beechfall.proxy;
 
 /** Lines for the operators, on standard error. One thread uses it: the event loop, or the main thread before that. */
-final class Log {
+final class RateLimitedLog {
     private static final int LINES_A_SECOND = 20;
 
     private long second = Long.MIN_VALUE;
--- a/src/main/java/beechfall/proxy/RequestAggregator.java
+++ b/src/main/java/beechfall/proxy/RequestAggregator.java
@@ -22,7 +22,7 @@
     private final ClientConnection connection;
 
     RequestAggregator(ClientConnection connection) {
-        super(Backends.MAX_BODY);
+        super(UpstreamClient.MAX_BODY);
         this.connection = connection;
     }
 
--- a/src/main/java/beechfall/proxy/Proxy.java
+++ b/src/main/java/beechfall/proxy/RequestDispatcher.java
@@ -22,18 +22,18 @@
  * Stands between the module and the sockets: hands the module its events, one at a time, and carries out its actions.
  * It decides nothing. All of it runs on the one event loop.
  */
-final class Proxy {
+final class RequestDispatcher {
     /** The client's side of a request. Exactly one of the last three is called, once. */
-    interface Reply {
+    interface ResponseSink {
         /**
          * Reads what the client has sent, unless that was done a moment ago: its close may lie unread while the loop is
-         * busy. Where the client has left, {@link Proxy#clientGone} is called before this returns.
+         * busy. Where the client has left, {@link RequestDispatcher#clientDisconnected} is called before this returns.
          */
         void pollClient();
 
-        void served(Backends.Answer answer);
+        void served(UpstreamClient.UpstreamResponse answer);
 
-        void refused(long retryAfterUs);
+        void rejected(long retryAfterUs);
 
         void failed();
     }
@@ -42,169 +42,183 @@
      * A client's request. {@code deadlineUs} is on the proxy's clock: the last moment at which an answer can leave and
      * still be there before the client gives up.
      */
-    record Incoming(
+    record ClientRequest(
             String id,
             String requestClass,
             String tenant,
             String key,
-            boolean repeat,
+            boolean retry,
             long deadlineUs,
-            Backends.Outgoing outgoing) {}
+            UpstreamClient.UpstreamRequest upstreamRequest) {}
 
     /** A request and its attempts, kept until it is answered and no attempt is out. */
-    private static final class Request {
-        private final Incoming incoming;
-        private final Reply reply;
+    private static final class DispatchedRequest {
+        private final ClientRequest clientRequest;
+        private final ResponseSink responseSink;
         /** By their numbers; null where the attempt was never sent. */
-        private final List<Backends.Attempt> attempts = new ArrayList<>(2);
+        private final List<UpstreamClient.UpstreamAttempt> attempts = new ArrayList<>(2);
 
-        private int out;
-        private boolean over;
-        private Future<?> safety;
+        private int attemptsInFlight;
+        private boolean answered;
+        private Future<?> overdueTimer;
 
-        Request(Incoming incoming, Reply reply) {
-            this.incoming = incoming;
-            this.reply = reply;
+        DispatchedRequest(ClientRequest incoming, ResponseSink reply) {
+            this.clientRequest = incoming;
+            this.responseSink = reply;
         }
     }
 
     /** How long after its deadline a request is answered by the proxy, if the module has not: the module goes first. */
-    private static final long SAFETY_US = 2_000;
+    private static final long OVERDUE_ANSWER_DELAY_US = 2_000;
 
     private final Clock clock;
     private final EventLoop loop;
-    private final Log log;
+    private final RateLimitedLog log;
     private final Limits limits;
-    private final LoadBalancer module;
-    private final Backends backends;
-    private final Map<String, Request> requests = new HashMap<>();
+    private final LoadBalancer loadBalancer;
+    private final UpstreamClient backends;
+    private final Map<String, DispatchedRequest> requests = new HashMap<>();
     private final Queue<Event> events = new ArrayDeque<>();
     private final List<Action> actions = new ArrayList<>();
-    private Discovery discovery;
+    private EndpointWatcher discovery;
     private boolean handling;
-    private boolean ending;
-
-    Proxy(Clock clock, EventLoop loop, Log log, BalancerSettings settings, LoadBalancer module, Backends backends) {
+    private boolean terminating;
+
+    RequestDispatcher(
+            Clock clock,
+            EventLoop loop,
+            RateLimitedLog log,
+            BalancerSettings settings,
+            LoadBalancer module,
+            UpstreamClient backends) {
         this.clock = clock;
         this.loop = loop;
         this.log = log;
         this.limits = settings.limits();
-        this.module = module;
+        this.loadBalancer = module;
         this.backends = backends;
     }
 
-    void discovery(Discovery calls) {
+    void discovery(EndpointWatcher calls) {
         discovery = calls;
     }
 
     /** Returns the number of requests that still want an answer or have attempts out. */
-    int open() {
+    int openRequests() {
         return requests.size();
     }
 
-    boolean knows(String id) {
+    boolean isServing(String id) {
         return requests.containsKey(id);
     }
 
     // Events
 
-    void arrived(Incoming incoming, Reply reply) {
+    void requestArrived(ClientRequest incoming, ResponseSink reply) {
         long now = clock.now();
-        if (ending) {
-            reply.refused(0);
+        if (terminating) {
+            reply.rejected(0);
             return;
         }
         if (now >= incoming.deadlineUs()) {
             reply.failed();
             return;
         }
-        var r = new Request(incoming, reply);
+        var r = new DispatchedRequest(incoming, reply);
         requests.put(incoming.id(), r);
-        r.safety = loop.schedule(() -> overdue(r), incoming.deadlineUs() + SAFETY_US - now, TimeUnit.MICROSECONDS);
+        r.overdueTimer = loop.schedule(
+                () -> answerOverdue(r), incoming.deadlineUs() + OVERDUE_ANSWER_DELAY_US - now, TimeUnit.MICROSECONDS);
         deliver(new Event.RequestArrived(
                 incoming.id(),
                 incoming.requestClass(),
                 incoming.tenant(),
                 incoming.key(),
                 incoming.deadlineUs() - now,
-                incoming.repeat()));
+                incoming.retry()));
     }
 
     /** The client has closed its connection before it had an answer. */
-    void clientGone(String id) {
-        Request r = requests.get(id);
-        if (r != null && !r.over) {
-            over(r);
-            left(r);
+    void clientDisconnected(String id) {
+        DispatchedRequest r = requests.get(id);
+        if (r != null && !r.answered) {
+            markAnswered(r);
+            abandonRequest(r);
         }
     }
 
     /** Nothing more is owed to a client. What has not gone out whole need not, even where the module may cancel nothing. */
-    private void left(Request r) {
-        deliver(new Event.ClientDisconnected(r.incoming.id()));
+    private void abandonRequest(DispatchedRequest r) {
+        deliver(new Event.ClientDisconnected(r.clientRequest.id()));
         // A copy, as an end may bring the next attempt; not List.copyOf, which takes no null.
         new ArrayList<>(r.attempts).forEach(a -> {
             if (a != null && !a.written()) {
                 a.abort(AttemptOutcome.NOT_SENT);
             }
         });
-        forget(r);
+        removeIfComplete(r);
     }
 
     /** Guards against a module that never answers: whatever happens, the client hears of its request in time. */
-    private void overdue(Request r) {
-        if (!r.over) {
-            answer(r, Reply::failed);
-            left(r);
+    private void answerOverdue(DispatchedRequest r) {
+        if (!r.answered) {
+            answer(r, ResponseSink::failed);
+            abandonRequest(r);
         }
     }
 
     /** The process is about to end: whatever still waits, or comes, is answered now, or it would be lost. */
     void failAll() {
-        ending = true;
-        List.copyOf(requests.values()).forEach(this::overdue);
+        terminating = true;
+        List.copyOf(requests.values()).forEach(this::answerOverdue);
     }
 
     /** Discovery's news, or {@link UpdateKind#POLL_FAILED} where a call has brought none. */
-    void members(UpdateKind kind, List<Backends.Listed> listed) {
-        List<Backends.Attempt> unsent = kind == UpdateKind.POLL_FAILED ? List.of() : backends.update(kind, listed);
+    void endpointsUpdated(UpdateKind kind, List<UpstreamClient.ListedEndpoint> listed) {
+        List<UpstreamClient.UpstreamAttempt> unsent =
+                kind == UpdateKind.POLL_FAILED ? List.of() : backends.update(kind, listed);
         deliver(new Event.EndpointUpdate(
-                kind, listed.stream().map(Backends.Listed::backend).toList()));
+                kind,
+                listed.stream().map(UpstreamClient.ListedEndpoint::endpoint).toList()));
         // The module has heard why by now, and sends them elsewhere.
         unsent.forEach(a -> a.abort(AttemptOutcome.NOT_SENT));
     }
 
-    private void ended(
-            Request r, int number, String backend, AttemptOutcome outcome, long latencyUs, Backends.Answer answer) {
-        r.out--;
-        if (outcome == AttemptOutcome.SUCCESS && !r.over) {
+    private void attemptEnded(
+            DispatchedRequest r,
+            int number,
+            String backend,
+            AttemptOutcome outcome,
+            long latencyUs,
+            UpstreamClient.UpstreamResponse answer) {
+        r.attemptsInFlight--;
+        if (outcome == AttemptOutcome.SUCCESS && !r.answered) {
             answer(r, reply -> reply.served(answer));
         } else if (answer != null) {
             answer.body().release();
         }
-        deliver(new Event.AttemptEnded(r.incoming.id(), number, backend, outcome, latencyUs, r.over));
-        forget(r);
+        deliver(new Event.AttemptEnded(r.clientRequest.id(), number, backend, outcome, latencyUs, r.answered));
+        removeIfComplete(r);
     }
 
     /** Gives the one answer; where that goes wrong it is a failure, as the request is taken all the same. */
-    private void answer(Request r, Consumer<Reply> answer) {
-        over(r);
+    private void answer(DispatchedRequest r, Consumer<ResponseSink> answer) {
+        markAnswered(r);
         try {
-            answer.accept(r.reply);
+            answer.accept(r.responseSink);
         } catch (RuntimeException e) {
-            log.failure("could not answer " + r.incoming.id(), e);
-            r.reply.failed();
+            log.failure("could not answer " + r.clientRequest.id(), e);
+            r.responseSink.failed();
         }
     }
 
-    private void over(Request r) {
-        r.over = true;
-        r.safety.cancel(false);
+    private void markAnswered(DispatchedRequest r) {
+        r.answered = true;
+        r.overdueTimer.cancel(false);
     }
 
-    private void forget(Request r) {
-        if (r.over && r.out == 0) {
-            requests.remove(r.incoming.id(), r);
+    private void removeIfComplete(DispatchedRequest r) {
+        if (r.answered && r.attemptsInFlight == 0) {
+            requests.remove(r.clientRequest.id(), r);
         }
     }
 
@@ -226,14 +240,14 @@
 
     private void handle(Event event) {
         try {
-            module.handle(clock.now(), event, actions::add);
+            loadBalancer.handle(clock.now(), event, actions::add);
         } catch (RuntimeException e) {
             log.failure("the module failed on " + event, e);
             failRequestOf(event);
         }
         for (Action action : actions) {
             try {
-                carryOut(action);
+                execute(action);
             } catch (RuntimeException e) {
                 log.failure("could not carry out " + action, e);
             }
@@ -247,13 +261,13 @@
                 ? a.requestId()
                 : event instanceof Event.AttemptEnded a ? a.requestId() : null;
         if (id != null) {
-            finish(id, Reply::failed);
+            answerIfOpen(id, ResponseSink::failed);
         }
     }
 
     // Actions
 
-    private void carryOut(Action action) {
+    private void execute(Action action) {
         if (action instanceof Action.StartAttempt a) {
             send(a);
         } else if (action instanceof Action.SetTimer a) {
@@ -262,18 +276,18 @@
                     Math.max(0, a.atUs() - clock.now()),
                     TimeUnit.MICROSECONDS);
         } else if (action instanceof Action.Reject a) {
-            finish(a.requestId(), reply -> reply.refused(a.retryAfterUs()));
+            answerIfOpen(a.requestId(), reply -> reply.rejected(a.retryAfterUs()));
         } else if (action instanceof Action.Fail a) {
-            finish(a.requestId(), Reply::failed);
+            answerIfOpen(a.requestId(), ResponseSink::failed);
         } else if (action instanceof Action.CancelAttempt a) {
-            Request r = requests.get(a.requestId());
-            Backends.Attempt attempt =
+            DispatchedRequest r = requests.get(a.requestId());
+            UpstreamClient.UpstreamAttempt attempt =
                     r == null || a.attempt() >= r.attempts.size() ? null : r.attempts.get(a.attempt());
             if (attempt != null && limits.cancellation()) {
                 attempt.abort(AttemptOutcome.CANCELLED);
             }
         } else if (action instanceof Action.CloseIdleConnections a) {
-            backends.release(a.endpointId());
+            backends.closeIdleConnections(a.endpointId());
         } else if (action instanceof Action.WatchEndpoints a) {
             discovery.watch(a.enabled());
         } else if (action instanceof Action.FetchEndpoints) {
@@ -286,41 +300,43 @@
         }
     }
 
-    private void finish(String id, Consumer<Reply> answer) {
-        Request r = requests.get(id);
-        if (r != null && !r.over) {
+    private void answerIfOpen(String id, Consumer<ResponseSink> answer) {
+        DispatchedRequest r = requests.get(id);
+        if (r != null && !r.answered) {
             answer(r, answer);
-            forget(r);
+            removeIfComplete(r);
         }
     }
 
     private void send(Action.StartAttempt send) {
-        Request r = requests.get(send.requestId());
+        DispatchedRequest r = requests.get(send.requestId());
         if (r == null) {
             return;
         }
         int number = r.attempts.size();
-        long left = r.incoming.deadlineUs() - clock.now();
+        long left = r.clientRequest.deadlineUs() - clock.now();
         long timeoutUs = send.timeoutUs() == 0 ? left : Math.min(send.timeoutUs(), left);
-        Backends.Attempt attempt = null;
-        boolean allowed = number < limits.maxAttempts() && timeoutUs > 0 && (r.out == 0 || limits.hedging());
-        if (!r.over && allowed) {
-            r.reply.pollClient();
+        UpstreamClient.UpstreamAttempt attempt = null;
+        boolean allowed =
+                number < limits.maxAttempts() && timeoutUs > 0 && (r.attemptsInFlight == 0 || limits.hedging());
+        if (!r.answered && allowed) {
+            r.responseSink.pollClient();
         }
-        if (!r.over && allowed) {
-            attempt = backends.attempt(
+        if (!r.answered && allowed) {
+            attempt = backends.newAttempt(
                     send.endpointId(),
-                    r.incoming.outgoing(),
+                    r.clientRequest.upstreamRequest(),
                     timeoutUs,
-                    r.reply::pollClient,
-                    (outcome, latencyUs, answer) -> ended(r, number, send.endpointId(), outcome, latencyUs, answer));
+                    r.responseSink::pollClient,
+                    (outcome, latencyUs, answer) ->
+                            attemptEnded(r, number, send.endpointId(), outcome, latencyUs, answer));
         }
         r.attempts.add(attempt);
         if (attempt == null) {
             deliver(new Event.AttemptEnded(
-                    send.requestId(), number, send.endpointId(), AttemptOutcome.NOT_SENT, 0, r.over));
+                    send.requestId(), number, send.endpointId(), AttemptOutcome.NOT_SENT, 0, r.answered));
         } else {
-            r.out++;
+            r.attemptsInFlight++;
             attempt.start();
         }
     }
--- a/src/main/java/beechfall/proxy/Backends.java
+++ b/src/main/java/beechfall/proxy/UpstreamClient.java
@@ -47,7 +47,7 @@
  * The connections to the backends, and what becomes of the attempts sent over them. A connection carries one attempt
  * at a time. Nothing is ever sent again from here: each attempt is one that the module has asked for.
  */
-final class Backends {
+final class UpstreamClient {
     static final int MAX_BODY = 64 * 1024;
 
     /** An answer with its head, its padding and what comes ahead of it is never longer than this. */
@@ -58,17 +58,17 @@
     private static final long SETTLE_US = 10_000;
 
     /** What goes to a backend; it is the same for each attempt, but for the time left. */
-    record Outgoing(HttpMethod method, String uri, HttpHeaders headers, ByteBuf body) {}
+    record UpstreamRequest(HttpMethod method, String uri, HttpHeaders headers, ByteBuf body) {}
 
     /** A backend's 200. The body is the receiver's to release. */
-    record Answer(HttpHeaders headers, ByteBuf body) {}
+    record UpstreamResponse(HttpHeaders headers, ByteBuf body) {}
 
     /** A line of the list, and where this proxy finds that backend. */
-    record Listed(Endpoint backend, InetSocketAddress address) {}
+    record ListedEndpoint(Endpoint endpoint, InetSocketAddress address) {}
 
     /** Hears the one end of an attempt; {@code answer} is there for {@link AttemptOutcome#SUCCESS} alone. */
-    interface End {
-        void ended(AttemptOutcome outcome, long latencyUs, Answer answer);
+    interface AttemptListener {
+        void ended(AttemptOutcome outcome, long latencyUs, UpstreamResponse answer);
     }
 
     private final Clock clock;
@@ -77,10 +77,11 @@
     private final ConnectionLimiter limiter;
     private final Bootstrap bootstrap;
     private final long idleUs;
-    private final IdleLimit idleLimit = new IdleLimit();
-    private final Map<String, Target> targets = new HashMap<>();
+    private final LearnedIdleLimit idleLimit = new LearnedIdleLimit();
+    private final Map<String, UpstreamEndpoint> targets = new HashMap<>();
 
-    Backends(Clock clock, Transport transport, ConnectionLimiter limiter, long connIdleUs, long connectTimeoutUs) {
+    UpstreamClient(
+            Clock clock, Transport transport, ConnectionLimiter limiter, long connIdleUs, long connectTimeoutUs) {
         this.clock = clock;
         this.loop = transport.loop();
         this.transport = transport;
@@ -101,22 +102,22 @@
      *
      * @return the attempts that are to be stopped, as no byte of theirs has gone to a backend that wants nothing new
      */
-    List<Attempt> update(UpdateKind kind, List<Listed> listed) {
-        var unsent = new ArrayList<Attempt>();
+    List<UpstreamAttempt> update(UpdateKind kind, List<ListedEndpoint> listed) {
+        var unsent = new ArrayList<UpstreamAttempt>();
         var named = new HashSet<String>();
-        for (Listed l : listed) {
-            named.add(l.backend().id());
-            Target target = targets.get(l.backend().id());
+        for (ListedEndpoint l : listed) {
+            named.add(l.endpoint().id());
+            UpstreamEndpoint target = targets.get(l.endpoint().id());
             if (target == null || !target.address.equals(l.address())) {
                 if (target != null) {
                     // The same backend in another place: the old one gets nothing new.
                     target.ready = false;
                     unsent.addAll(target.stopped());
                 }
-                target = new Target(l.address());
-                targets.put(l.backend().id(), target);
+                target = new UpstreamEndpoint(l.address());
+                targets.put(l.endpoint().id(), target);
             }
-            target.ready = l.backend().state() == EndpointState.READY;
+            target.ready = l.endpoint().state() == EndpointState.READY;
         }
         if (kind != UpdateKind.DELTA) {
             targets.forEach((id, t) -> t.ready &= named.contains(id));
@@ -131,8 +132,8 @@
     }
 
     /** Closes the idle connections to a backend. */
-    void release(String id) {
-        Target target = targets.get(id);
+    void closeIdleConnections(String id) {
+        UpstreamEndpoint target = targets.get(id);
         if (target != null) {
             target.pool.closeIdle();
         }
@@ -143,42 +144,43 @@
      *
      * @param beforeWrite runs once the attempt has its connection, right before the request is written; it may abort it
      */
-    Attempt attempt(String id, Outgoing outgoing, long timeoutUs, Runnable beforeWrite, End end) {
-        Target target = targets.get(id);
+    UpstreamAttempt newAttempt(
+            String id, UpstreamRequest outgoing, long timeoutUs, Runnable beforeWrite, AttemptListener end) {
+        UpstreamEndpoint target = targets.get(id);
         if (target == null || !target.ready || (!target.pool.hasUsable() && !limiter.admitsBackend())) {
             return null;
         }
-        return new Attempt(target, outgoing, timeoutUs, beforeWrite, end);
+        return new UpstreamAttempt(target, outgoing, timeoutUs, beforeWrite, end);
     }
 
     /** One backend. */
-    private final class Target {
+    private final class UpstreamEndpoint {
         private final InetSocketAddress address;
-        private final Pool pool;
-        private final Set<Attempt> out = new LinkedHashSet<>();
+        private final ConnectionPool pool;
+        private final Set<UpstreamAttempt> out = new LinkedHashSet<>();
         private boolean ready;
 
-        Target(InetSocketAddress address) {
+        UpstreamEndpoint(InetSocketAddress address) {
             this.address = address;
-            this.pool = new Pool(
+            this.pool = new ConnectionPool(
                     bootstrap.clone().remoteAddress(transport.address(address)), new AbstractChannelPoolHandler() {
                         @Override
                         public void channelCreated(Channel channel) {
                             limiter.backendOpened(channel);
-                            var decoder = new Framing.Responses();
+                            var decoder = new Framing.StrictResponseDecoder();
                             channel.pipeline()
                                     .addLast(
                                             new HttpRequestEncoder(),
                                             decoder,
                                             new HttpObjectAggregator(MAX_BODY),
                                             new IdleStateHandler(0, 0, idleUs, TimeUnit.MICROSECONDS),
-                                            new Connection(Target.this, channel, decoder));
+                                            new UpstreamConnection(UpstreamEndpoint.this, channel, decoder));
                         }
                     });
         }
 
         /** Closes what is idle; returns the attempts that have not been written whole and so never ran. */
-        List<Attempt> stopped() {
+        List<UpstreamAttempt> stopped() {
             pool.closeIdle();
             return out.stream().filter(a -> !a.written).toList();
         }
@@ -188,14 +190,14 @@
      * Netty's pool, which leaves the choice of the idle connection to its subclass: of those that have settled the one
      * used last, so that the others grow old and are closed, and never one that was closed meanwhile.
      */
-    private final class Pool extends SimpleChannelPool {
-        private final Deque<Connection> idle = new ArrayDeque<>();
+    private final class ConnectionPool extends SimpleChannelPool {
+        private final Deque<UpstreamConnection> idle = new ArrayDeque<>();
         /** The idle connection that the next poll takes, or null where none has been chosen. */
-        private Connection chosen;
+        private UpstreamConnection chosen;
 
         private ChannelFuture connecting;
 
-        Pool(Bootstrap bootstrap, ChannelPoolHandler handler) {
+        ConnectionPool(Bootstrap bootstrap, ChannelPoolHandler handler) {
             super(bootstrap, handler);
         }
 
@@ -225,7 +227,7 @@
 
         @Override
         protected Channel pollChannel() {
-            Connection connection = chosen != null ? chosen : firstUsable(clock.now());
+            UpstreamConnection connection = chosen != null ? chosen : firstUsable(clock.now());
             chosen = null;
             if (connection == null) {
                 return null;
@@ -236,9 +238,9 @@
         }
 
         /** Returns the idle connection to use, or null; closes those that it finds to have brought something. */
-        private Connection firstUsable(long now) {
-            for (Iterator<Connection> i = idle.descendingIterator(); i.hasNext(); ) {
-                Connection connection = i.next();
+        private UpstreamConnection firstUsable(long now) {
+            for (Iterator<UpstreamConnection> i = idle.descendingIterator(); i.hasNext(); ) {
+                UpstreamConnection connection = i.next();
                 if (connection.settled(now)) {
                     // Where the loop was held up, what has come may be unread: it would pass for the next answer.
                     if (transport.silent().test(connection.channel)) {
@@ -253,14 +255,14 @@
 
         @Override
         protected boolean offerChannel(Channel channel) {
-            Connection connection = channel.pipeline().get(Connection.class);
+            UpstreamConnection connection = channel.pipeline().get(UpstreamConnection.class);
             connection.idleSince = clock.now();
             idle.addLast(connection);
             limiter.backendIdle(channel);
             return true;
         }
 
-        void closed(Connection connection) {
+        void closed(UpstreamConnection connection) {
             idle.remove(connection);
             if (chosen == connection) {
                 chosen = null;
@@ -269,19 +271,19 @@
 
         void closeIdle() {
             chosen = null;
-            for (Connection connection = idle.pollLast(); connection != null; connection = idle.pollLast()) {
+            for (UpstreamConnection connection = idle.pollLast(); connection != null; connection = idle.pollLast()) {
                 connection.channel.close();
             }
         }
     }
 
     /** One attempt, from the wish for a connection to its end. */
-    final class Attempt {
-        private final Target target;
-        private final Outgoing outgoing;
+    final class UpstreamAttempt {
+        private final UpstreamEndpoint target;
+        private final UpstreamRequest outgoing;
         private final long timeoutUs;
         private final Runnable beforeWrite;
-        private final End end;
+        private final AttemptListener end;
         private long startedAt;
         private Future<?> timer;
         private ChannelFuture connecting;
@@ -289,7 +291,12 @@
         private boolean written;
         private boolean ended;
 
-        private Attempt(Target target, Outgoing outgoing, long timeoutUs, Runnable beforeWrite, End end) {
+        private UpstreamAttempt(
+                UpstreamEndpoint target,
+                UpstreamRequest outgoing,
+                long timeoutUs,
+                Runnable beforeWrite,
+                AttemptListener end) {
             this.target = target;
             this.outgoing = outgoing;
             this.timeoutUs = timeoutUs;
@@ -341,12 +348,12 @@
                     outgoing.method(),
                     outgoing.uri(),
                     outgoing.body().retainedDuplicate());
-            Headers.copyEndToEnd(outgoing.headers(), request.headers());
-            request.headers().set(Headers.TIMEOUT, Math.max(1, startedAt + timeoutUs - clock.now()) + "u");
+            ProtocolHeaders.copyEndToEnd(outgoing.headers(), request.headers());
+            request.headers().set(ProtocolHeaders.TIMEOUT, Math.max(1, startedAt + timeoutUs - clock.now()) + "u");
             if (!outgoing.method().equals(HttpMethod.GET) || request.content().isReadable()) {
                 HttpUtil.setContentLength(request, request.content().readableBytes());
             }
-            channel.pipeline().get(Connection.class).begin(this);
+            channel.pipeline().get(UpstreamConnection.class).begin(this);
             channel.writeAndFlush(request).addListener(f -> {
                 written = f.isSuccess();
                 if (!written) {
@@ -369,14 +376,14 @@
             report(outcome, null);
         }
 
-        private void end(AttemptOutcome outcome, Answer answer) {
+        private void end(AttemptOutcome outcome, UpstreamResponse answer) {
             if (!ended) {
                 ended = true;
                 report(outcome, answer);
             }
         }
 
-        private void report(AttemptOutcome outcome, Answer answer) {
+        private void report(AttemptOutcome outcome, UpstreamResponse answer) {
             timer.cancel(false);
             target.out.remove(this);
             end.ended(outcome, clock.now() - startedAt, answer);
@@ -387,11 +394,11 @@
      * The reading side of a connection to a backend. An answer is judged once all that has come is read: it is the
      * attempt's if it can be read whole, and its connection is used again only if it brought nothing else.
      */
-    private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private final Target target;
+    private final class UpstreamConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
+        private final UpstreamEndpoint target;
         private final Channel channel;
-        private final Framing.Responses decoder;
-        private Attempt attempt;
+        private final Framing.StrictResponseDecoder decoder;
+        private UpstreamAttempt attempt;
         private FullHttpResponse answer;
         private boolean unasked;
         /** 0 while it has not carried any attempt. */
@@ -400,13 +407,13 @@
         private long idledUs;
         private Future<?> stall;
 
-        Connection(Target target, Channel channel, Framing.Responses decoder) {
+        UpstreamConnection(UpstreamEndpoint target, Channel channel, Framing.StrictResponseDecoder decoder) {
             this.target = target;
             this.channel = channel;
             this.decoder = decoder;
         }
 
-        void begin(Attempt next) {
+        void begin(UpstreamAttempt next) {
             attempt = next;
             idledUs = idleSince == 0 ? 0 : clock.now() - idleSince;
             decoder.countAfresh();
@@ -446,7 +453,7 @@
 
         private void answered() {
             FullHttpResponse response = answer;
-            Attempt a = attempt;
+            UpstreamAttempt a = attempt;
             answer = null;
             attempt = null;
             stopAwaiting();
@@ -464,7 +471,9 @@
             AttemptOutcome outcome = outcome(response, sound);
             a.end(
                     outcome,
-                    outcome == AttemptOutcome.SUCCESS ? new Answer(response.headers(), response.content()) : null);
+                    outcome == AttemptOutcome.SUCCESS
+                            ? new UpstreamResponse(response.headers(), response.content())
+                            : null);
             if (outcome != AttemptOutcome.SUCCESS) {
                 response.release();
             }
@@ -497,7 +506,7 @@
 
         /** Something has come back, so that the attempt may have run; but it is no answer, and none will follow. */
         private void spoilt() {
-            Attempt a = attempt;
+            UpstreamAttempt a = attempt;
             attempt = null;
             channel.close();
             if (a != null) {
@@ -511,7 +520,7 @@
                 return AttemptOutcome.SUCCESS;
             }
             boolean turnedAway = (status == 503 || status == 504)
-                    && "1".equals(response.headers().get(Headers.NOT_PROCESSED));
+                    && "1".equals(response.headers().get(ProtocolHeaders.NOT_PROCESSED));
             return sound && turnedAway ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR;
         }
 
@@ -530,7 +539,7 @@
         /** No answer comes over this connection any more. */
         private void broken() {
             if (attempt != null) {
-                Attempt a = attempt;
+                UpstreamAttempt a = attempt;
                 attempt = null;
                 if (!a.ended) {
                     // One that this side has given up tells nothing of what lies behind the connection.
--- a/src/main/java/beechfall/proxy/Warmup.java
+++ b/src/main/java/beechfall/proxy/Warmup.java
@@ -47,7 +47,7 @@
     private static final int BACKENDS = 10;
     private static final byte[] BODY = "x".repeat(1_000).getBytes(StandardCharsets.US_ASCII);
 
-    private final Config config;
+    private final ProxyConfig config;
     private final Transport transport = Transport.inProcess();
     private final String list;
     private final CountDownLatch done = new CountDownLatch(CLIENTS);
@@ -56,8 +56,8 @@
     private int sent;
     private int served;
 
-    private Warmup(Config template) {
-        ObjectNode known = Json.object().put("version", 1).put("full", true);
+    private Warmup(ProxyConfig template) {
+        ObjectNode known = JsonTrees.object().put("version", 1).put("full", true);
         ArrayNode servers = known.putArray("servers");
         for (int i = 0; i < BACKENDS; i++) {
             servers.addObject()
@@ -71,7 +71,7 @@
                     .put("started_ms", 0);
         }
         list = known.toString();
-        config = new Config(
+        config = new ProxyConfig(
                 "warm-up",
                 address(0),
                 address(BACKENDS + 1),
@@ -89,16 +89,16 @@
      * @param timeoutMs the longest time that this may take, in milliseconds
      * @return the number of requests answered with 200
      */
-    static int run(Config config, long timeoutMs) {
+    static int run(ProxyConfig config, long timeoutMs) {
         return new Warmup(config).run(timeoutMs);
     }
 
     private static InetSocketAddress address(int port) {
-        return Config.address("127.0.0.1:" + port);
+        return ProxyConfig.address("127.0.0.1:" + port);
     }
 
     private int run(long timeoutMs) {
-        var serve = new Serve(config, new EarliestDeadlineLoadBalancer(config.settings()), transport);
+        var serve = new ProxyServer(config, new EarliestDeadlineLoadBalancer(config.settings()), transport);
         try {
             for (int i = 1; i <= BACKENDS + 1; i++) {
                 transport
@@ -139,7 +139,7 @@
                 channel.pipeline()
                         .addLast(
                                 handler instanceof StubClient ? new HttpClientCodec() : new HttpServerCodec(),
-                                new HttpObjectAggregator(Backends.MAX_BODY),
+                                new HttpObjectAggregator(UpstreamClient.MAX_BODY),
                                 handler);
             }
         };
@@ -221,17 +221,19 @@
                     safe ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(BODY));
             request.headers()
                     .set("host", "warm-up")
-                    .set(Headers.REQUEST_ID, Integer.toHexString(sent))
-                    .set(Headers.REQUEST_CLASS, type.name())
-                    .set(Headers.TIMEOUT, type.deadlineUs() / 1_000 + "m");
+                    .set(ProtocolHeaders.REQUEST_ID, Integer.toHexString(sent))
+                    .set(ProtocolHeaders.REQUEST_CLASS, type.name())
+                    .set(ProtocolHeaders.TIMEOUT, type.deadlineUs() / 1_000 + "m");
             if (!tenants.isEmpty()) {
                 request.headers()
-                        .set(Headers.TENANT, tenants.get(sent % tenants.size()).name());
+                        .set(
+                                ProtocolHeaders.TENANT,
+                                tenants.get(sent % tenants.size()).name());
             }
             if (!safe) {
                 HttpUtil.setContentLength(request, BODY.length);
                 if (type.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
-                    request.headers().set(Headers.IDEMPOTENCY_KEY, Integer.toHexString(sent));
+                    request.headers().set(ProtocolHeaders.IDEMPOTENCY_KEY, Integer.toHexString(sent));
                 }
             }
             writeLater(ctx, request);
--- a/src/main/java/beechfall/wire/WireException.java
+++ b/src/main/java/beechfall/wire/MalformedMessageException.java
@@ -1,10 +1,10 @@
 package beechfall.wire;
 
 /** Input that is not a legal message of the wire; the message says what is wrong with it. */
-final class WireException extends RuntimeException {
+final class MalformedMessageException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    WireException(String message) {
+    MalformedMessageException(String message) {
         super(message);
     }
 }
--- a/src/main/java/beechfall/wire/Codec.java
+++ b/src/main/java/beechfall/wire/MessageCodec.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 
 /** Translates between the lines of the wire and the events and actions of {@link LoadBalancer}. */
-final class Codec {
+final class MessageCodec {
     private static final Map<String, AttemptOutcome> OUTCOMES = Map.of(
             "delivered", AttemptOutcome.SUCCESS,
             "app_error", AttemptOutcome.ERROR,
@@ -32,10 +32,10 @@
             "stale_copy", UpdateKind.CACHED,
             "broken", UpdateKind.POLL_FAILED);
 
-    private Codec() {}
+    private MessageCodec() {}
 
     /** Reads the settings of an {@code up} line. */
-    static BalancerSettings settings(Fields up) {
+    static BalancerSettings settings(MessageFields up) {
         var values = new HashMap<String, String>();
         for (int i = 0; i < up.size(); i++) {
             values.put(up.key(i), up.value(i));
@@ -44,7 +44,7 @@
     }
 
     /** Reads an event that fits on one line, or returns null for one that the module has no use for. */
-    static Event event(String name, Fields in) {
+    static Event event(String name, MessageFields in) {
         return switch (name) {
             case "incoming" ->
                 new Event.RequestArrived(
@@ -68,18 +68,18 @@
             case "probed" ->
                 new Event.HealthCheckEnded(in.text("backend"), word(in, "how", OUTCOMES), in.whole("cost_time_us"));
             case "inbox" -> null;
-            default -> throw new WireException("unknown event '" + name + "'");
+            default -> throw new MalformedMessageException("unknown event '" + name + "'");
         };
     }
 
-    static UpdateKind listKind(Fields in) {
+    static UpdateKind listKind(MessageFields in) {
         return word(in, "form", LISTS);
     }
 
     /** Reads one {@code entry} line of a list. */
-    static Endpoint backend(Fields in) {
+    static Endpoint backend(MessageFields in) {
         if (!in.name().equals("entry")) {
-            throw new WireException("expected 'entry', found '" + in.name() + "'");
+            throw new MalformedMessageException("expected 'entry', found '" + in.name() + "'");
         }
         return new Endpoint(
                 in.text("backend"),
@@ -144,11 +144,11 @@
         return text.replace('\n', ' ').replace('\r', ' ');
     }
 
-    private static <T> T word(Fields in, String key, Map<String, T> words) {
+    private static <T> T word(MessageFields in, String key, Map<String, T> words) {
         String value = in.text(key);
         T meaning = words.get(value);
         if (meaning == null) {
-            throw new WireException(in.name() + ": unknown value '" + value + "' in '" + key + "'");
+            throw new MalformedMessageException(in.name() + ": unknown value '" + value + "' in '" + key + "'");
         }
         return meaning;
     }
--- a/src/main/java/beechfall/wire/Fields.java
+++ b/src/main/java/beechfall/wire/MessageFields.java
@@ -1,7 +1,7 @@
 package beechfall.wire;
 
 /** One line of the wire: a name and its name=value pairs, reused from line to line. */
-final class Fields {
+final class MessageFields {
     private String line = "";
     private int nameEnd;
     private int count;
@@ -19,7 +19,7 @@
             int stop = end(start);
             int equals = text.indexOf('=', start);
             if (equals <= start || equals >= stop) {
-                throw new WireException("malformed field '" + text.substring(start, stop) + "'");
+                throw new MalformedMessageException("malformed field '" + text.substring(start, stop) + "'");
             }
             if (count == keyStart.length) {
                 keyStart = java.util.Arrays.copyOf(keyStart, 2 * count);
@@ -68,7 +68,7 @@
     String text(String key) {
         String value = optional(key);
         if (value == null || value.isEmpty()) {
-            throw new WireException(name() + ": missing field '" + key + "'");
+            throw new MalformedMessageException(name() + ": missing field '" + key + "'");
         }
         return value;
     }
@@ -85,7 +85,7 @@
     int small(String key) {
         long value = whole(key);
         if (value < 0 || value > Integer.MAX_VALUE) {
-            throw new WireException(name() + ": bad number '" + value + "' in '" + key + "'");
+            throw new MalformedMessageException(name() + ": bad number '" + value + "' in '" + key + "'");
         }
         return (int) value;
     }
@@ -94,7 +94,7 @@
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw new WireException(name() + ": bad number '" + value + "' in '" + key + "'");
+            throw new MalformedMessageException(name() + ": bad number '" + value + "' in '" + key + "'");
         }
     }
 
@@ -111,7 +111,7 @@
         } catch (NumberFormatException e) {
             // told below
         }
-        throw new WireException(name() + ": bad number '" + value + "' in '" + key + "'");
+        throw new MalformedMessageException(name() + ": bad number '" + value + "' in '" + key + "'");
     }
 
     boolean flag(String key) {
@@ -122,6 +122,6 @@
         if (value.equals("1") || value.equals("true")) {
             return true;
         }
-        throw new WireException(name() + ": bad bool '" + value + "' in '" + key + "'");
+        throw new MalformedMessageException(name() + ": bad bool '" + value + "' in '" + key + "'");
     }
 }
--- a/src/main/java/beechfall/wire/Main.java
+++ b/src/main/java/beechfall/wire/SimulatorCommand.java
@@ -5,8 +5,8 @@
 import java.io.IOException;
 
 /** The command line: {@code drill} hosts instances of the module on standard input and output. */
-public final class Main {
-    private Main() {}
+public final class SimulatorCommand {
+    private SimulatorCommand() {}
 
     /**
      * Runs the host.
@@ -20,7 +20,7 @@
             System.exit(2);
         }
         try (var out = new FileOutputStream(FileDescriptor.out)) {
-            int code = new Host().run(System.in, out, System.err);
+            int code = new SimulatorHost().run(System.in, out, System.err);
             if (code != 0) {
                 System.exit(code);
             }
--- a/src/main/java/beechfall/wire/Host.java
+++ b/src/main/java/beechfall/wire/SimulatorHost.java
@@ -22,19 +22,19 @@
 import java.util.function.Function;
 
 /** Reads batches of events, gives each to its instance, and writes the reply. Instances share nothing. */
-final class Host {
+final class SimulatorHost {
     private final Function<BalancerSettings, LoadBalancer> factory;
     private final Map<Integer, Instance> instances = new HashMap<>();
-    private final Fields fields = new Fields();
+    private final MessageFields fields = new MessageFields();
     private final StringBuilder reply = new StringBuilder(1 << 12);
     private BufferedReader reader;
     private long lineNumber;
 
-    Host() {
+    SimulatorHost() {
         this(EarliestDeadlineLoadBalancer::new);
     }
 
-    Host(Function<BalancerSettings, LoadBalancer> factory) {
+    SimulatorHost(Function<BalancerSettings, LoadBalancer> factory) {
         this.factory = factory;
     }
 
@@ -52,7 +52,7 @@
                 }
             }
             return 0;
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             errors.println("line " + lineNumber + ": " + e.getMessage());
             return 1;
         }
@@ -66,7 +66,7 @@
     private String nextInBatch() throws IOException {
         String line = next();
         if (line == null) {
-            throw new WireException("input ends inside a batch");
+            throw new MalformedMessageException("input ends inside a batch");
         }
         return line;
     }
@@ -74,7 +74,7 @@
     private void batch(String first) throws IOException {
         fields.read(first);
         if (!fields.name().equals("batch")) {
-            throw new WireException("expected 'batch', found '" + fields.name() + "'");
+            throw new MalformedMessageException("expected 'batch', found '" + fields.name() + "'");
         }
         long now = fields.whole("wall_us");
         for (String line = nextInBatch(); !line.equals("commit"); line = nextInBatch()) {
@@ -93,13 +93,13 @@
         }
         Instance instance = instances.get(who);
         if (instance == null) {
-            throw new WireException("'" + name + "' for instance " + who + ", which is not up");
+            throw new MalformedMessageException("'" + name + "' for instance " + who + ", which is not up");
         }
         if (name.equals("detach")) {
             instances.remove(who);
             return;
         }
-        Event event = name.equals("update") ? members() : Codec.event(name, fields);
+        Event event = name.equals("update") ? members() : MessageCodec.event(name, fields);
         if (event != null) {
             try {
                 instance.balancer.handle(now, event, instance);
@@ -112,9 +112,9 @@
     private void up(int who) {
         BalancerSettings settings;
         try {
-            settings = Codec.settings(fields);
+            settings = MessageCodec.settings(fields);
         } catch (IllegalArgumentException e) {
-            throw new WireException("up: " + e.getMessage());
+            throw new MalformedMessageException("up: " + e.getMessage());
         }
         try {
             instances.put(who, new Instance(who, factory.apply(settings)));
@@ -124,15 +124,15 @@
     }
 
     private Event.EndpointUpdate members() throws IOException {
-        UpdateKind kind = Codec.listKind(fields);
+        UpdateKind kind = MessageCodec.listKind(fields);
         int count = fields.optional("nodes_list") == null ? 0 : fields.small("nodes_list");
         List<Endpoint> backends = new ArrayList<>(Math.min(count, 1024));
         for (int i = 0; i < count; i++) {
             fields.read(nextInBatch());
             try {
-                backends.add(Codec.backend(fields));
+                backends.add(MessageCodec.backend(fields));
             } catch (IllegalArgumentException e) {
-                throw new WireException("entry: " + e.getMessage());
+                throw new MalformedMessageException("entry: " + e.getMessage());
             }
         }
         return new Event.EndpointUpdate(kind, backends);
@@ -140,7 +140,7 @@
 
     private void panic(int who, RuntimeException e) {
         StackTraceElement[] trace = e.getStackTrace();
-        Codec.head(reply, "panic", who).append(" message=").append(Codec.oneLine(String.valueOf(e)));
+        MessageCodec.head(reply, "panic", who).append(" message=").append(MessageCodec.oneLine(String.valueOf(e)));
         if (trace.length > 0) {
             reply.append(" at ").append(trace[0]);
         }
@@ -159,7 +159,7 @@
 
         @Override
         public void accept(Action action) {
-            Codec.write(reply, who, action);
+            MessageCodec.write(reply, who, action);
         }
     }
 }
--- a/src/test/java/beechfall/CrowdTest.java
+++ b/src/test/java/beechfall/AdmissionControlTest.java
@@ -1,11 +1,11 @@
 package beechfall;
 
-import static beechfall.ModuleDriver.LIMITS;
-import static beechfall.ModuleDriver.MS;
-import static beechfall.ModuleDriver.PAY;
-import static beechfall.ModuleDriver.READ;
-import static beechfall.ModuleDriver.RULES;
-import static beechfall.ModuleDriver.backend;
+import static beechfall.LoadBalancerDriver.LIMITS;
+import static beechfall.LoadBalancerDriver.MS;
+import static beechfall.LoadBalancerDriver.PAY;
+import static beechfall.LoadBalancerDriver.READ;
+import static beechfall.LoadBalancerDriver.RULES;
+import static beechfall.LoadBalancerDriver.backend;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import beechfall.Action.Fail;
@@ -19,8 +19,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What happens when more comes than the backends can do. */
-class CrowdTest {
-    private final ModuleDriver proxy = new ModuleDriver();
+class AdmissionControlTest {
+    private final LoadBalancerDriver proxy = new LoadBalancerDriver();
 
     @Test
     void moreThanTheLimitIsHeldAndThenRefusedAtOnce() {
@@ -66,7 +66,8 @@
     @Test
     void aRefusalTellsWhenThereMayBeRoom() {
         long most = 700 * MS;
-        var p = new ModuleDriver(ModuleDriver.settings(new Limits(true, false, false, false, 4, most, 0), RULES));
+        var p = new LoadBalancerDriver(
+                LoadBalancerDriver.settings(new Limits(true, false, false, false, 4, most, 0), RULES));
         p.list(backend("a"));
         for (int i = 0; i < 20; i++) {
             p.arrive(READ);
@@ -83,8 +84,8 @@
 
     @Test
     void aTenantPastItsShareGivesWay() {
-        var p = new ModuleDriver(
-                ModuleDriver.settings(LIMITS, RULES, new Tenant("greedy", 1), new Tenant("modest", 1000)));
+        var p = new LoadBalancerDriver(
+                LoadBalancerDriver.settings(LIMITS, RULES, new Tenant("greedy", 1), new Tenant("modest", 1000)));
         p.list(backend("a"));
         p.now += 10_000 * MS;
         var held = new ArrayList<String>();
@@ -144,8 +145,8 @@
     @ValueSource(booleans = {false, true})
     void aLoneProxyKeepsItsBackendsBusyWhenUnqueuedWorkFillsTheLimit(boolean listChangesEachSecond) {
         // One of three, the others gone. An answer takes 200 ms without a queue, more than a fifth of the shortest aim.
-        var p = new ModuleDriver(new BalancerSettings(
-                3, 0, "a", MS, List.of(READ, ModuleDriver.PAY), List.of(), 1, false, LIMITS, RULES, 1));
+        var p = new LoadBalancerDriver(new BalancerSettings(
+                3, 0, "a", MS, List.of(READ, LoadBalancerDriver.PAY), List.of(), 1, false, LIMITS, RULES, 1));
         p.list(backend("a"), backend("b"), backend("c"));
         record Sent(String id, long at) {}
         var out = new java.util.ArrayDeque<Sent>();
@@ -154,7 +155,7 @@
         for (int step = 0; step < 3000; step++) {
             p.now += 20 * MS;
             if (listChangesEachSecond && step % 50 == 0) {
-                var gone = ModuleDriver.in(EndpointState.GONE, "other" + step);
+                var gone = LoadBalancerDriver.in(EndpointState.GONE, "other" + step);
                 p.feed(new Event.EndpointUpdate(UpdateKind.DELTA, List.of(gone)));
             }
             p.arrive(READ);
@@ -174,8 +175,8 @@
 
     @Test
     void twelveProxiesTogetherHoldNoMoreThanOne() {
-        var alone = new ModuleDriver();
-        var oneOfTwelve = new ModuleDriver(
+        var alone = new LoadBalancerDriver();
+        var oneOfTwelve = new LoadBalancerDriver(
                 new BalancerSettings(12, 0, "a", MS, List.of(READ), List.of(), 1, false, LIMITS, RULES, 1));
         var backends = new Endpoint[24];
         for (int i = 0; i < backends.length; i++) {
@@ -192,7 +193,7 @@
             backends[i] = backend("s" + i, "std", i % 2 == 0 ? "a" : "b", 1);
         }
         for (int rank = 0; rank < 12; rank++) {
-            var p = new ModuleDriver(
+            var p = new LoadBalancerDriver(
                     new BalancerSettings(12, rank, "a", MS, List.of(READ), List.of(), 1, false, LIMITS, RULES, rank));
             p.list(backends);
             for (int i = 0; i < 6; i++) {
@@ -246,18 +247,18 @@
 
     @Test
     void roomGoesToARequestWhoseKeyIsAtHomeThere() {
-        var p = new ModuleDriver(
+        var p = new LoadBalancerDriver(
                 new BalancerSettings(3, 0, "a", MS, List.of(READ), List.of(), 1, true, LIMITS, RULES, 1));
         p.list(backend("a"), backend("b"), backend("c"), backend("d"), backend("e"), backend("f"));
         String[] key = new String[60];
         var home = new java.util.HashMap<String, String>();
         for (int i = 0; i < key.length; i++) {
             key[i] = "key" + i;
-            p.feed(new Event.RequestArrived("probe" + i, "read", null, key[i], 2 * ModuleDriver.S, false));
+            p.feed(new Event.RequestArrived("probe" + i, "read", null, key[i], 2 * LoadBalancerDriver.S, false));
             home.put(key[i], p.lastSend("probe" + i).endpointId());
             p.end("probe" + i, AttemptOutcome.SUCCESS, MS);
         }
-        p.now += 20 * ModuleDriver.S;
+        p.now += 20 * LoadBalancerDriver.S;
         var out = new ArrayList<String>();
         for (int i = 0; i < 6; i++) {
             out.add(p.arrive(READ));
@@ -271,9 +272,9 @@
                 .filter(k -> home.get(k).equals(freed))
                 .findFirst()
                 .orElseThrow();
-        p.feed(new Event.RequestArrived("other", "read", null, other, 2 * ModuleDriver.S, false));
+        p.feed(new Event.RequestArrived("other", "read", null, other, 2 * LoadBalancerDriver.S, false));
         p.now += MS;
-        p.feed(new Event.RequestArrived("fits", "read", null, fits, 2 * ModuleDriver.S, false));
+        p.feed(new Event.RequestArrived("fits", "read", null, fits, 2 * LoadBalancerDriver.S, false));
         assertThat(p.sends("other") + p.sends("fits")).isZero();
         p.end(out.get(0), AttemptOutcome.SUCCESS, MS);
         assertThat(p.sends("fits")).isEqualTo(1);
@@ -281,14 +282,14 @@
     }
 
     /** One of 400 proxies at 60 backends: its part of what all may have out is 3 x 60 / 400, under half an attempt. */
-    private static ModuleDriver oneOfHundreds(int rank, RequestClass... classes) {
+    private static LoadBalancerDriver oneOfHundreds(int rank, RequestClass... classes) {
         var all = classes.length == 0 ? List.of(READ) : List.of(classes);
-        var p = new ModuleDriver(
+        var p = new LoadBalancerDriver(
                 new BalancerSettings(400, rank, "a", MS, all, List.of(), 1, false, LIMITS, RULES, rank));
         p.list(java.util.stream.IntStream.range(0, 60)
                 .mapToObj(i -> backend("s" + i))
                 .toArray(Endpoint[]::new));
-        p.run(5 * ModuleDriver.S);
+        p.run(5 * LoadBalancerDriver.S);
         return p;
     }
 
@@ -335,8 +336,8 @@
     }
 
     /** Sends in ten seconds with a request every 400 ms that takes all of them. */
-    private static long sentIn(ModuleDriver p) {
-        p.run(10 * ModuleDriver.S);
+    private static long sentIn(LoadBalancerDriver p) {
+        p.run(10 * LoadBalancerDriver.S);
         long before = p.actions.stream().filter(a -> a instanceof StartAttempt).count();
         for (int i = 0; i < 25; i++) {
             String id = p.arrive(READ);
@@ -358,7 +359,7 @@
                 p.run(170 * MS);
             }
             long from = p.now;
-            p.feed(new Event.EndpointUpdate(UpdateKind.DELTA, List.of(ModuleDriver.started("new", from))));
+            p.feed(new Event.EndpointUpdate(UpdateKind.DELTA, List.of(LoadBalancerDriver.started("new", from))));
             for (int i = 0; i < 25; i++) {
                 got += p.serve(READ, 30 * MS).equals("new") ? 1 : 0;
                 p.run(170 * MS);
@@ -375,8 +376,8 @@
         var dear = oneOfHundreds(0, READ, PAY);
         for (var p : List.of(cheap, dear)) {
             String slow = p.arrive(READ);
-            p.run(2 * ModuleDriver.S);
-            p.end(slow, AttemptOutcome.TIMEOUT, 2 * ModuleDriver.S);
+            p.run(2 * LoadBalancerDriver.S);
+            p.end(slow, AttemptOutcome.TIMEOUT, 2 * LoadBalancerDriver.S);
         }
         assertThat(cheap.sends(cheap.arrive(READ))).isZero();
         assertThat(dear.sends(dear.arrive(PAY))).isEqualTo(1);
@@ -429,7 +430,7 @@
         var p = oneOfHundreds(0);
         for (int i = 0; i < 20; i++) {
             p.serve(READ, 200 * MS);
-            p.run(ModuleDriver.S);
+            p.run(LoadBalancerDriver.S);
         }
         String busy = p.arrive(READ);
         p.now += MS;
@@ -459,14 +460,14 @@
         assertThat(p.serve(READ, 20 * MS)).isNotEqualTo(slow);
         for (int i = 0; i < 30; i++) {
             p.serve(READ, 20 * MS);
-            p.run(2 * ModuleDriver.S);
+            p.run(2 * LoadBalancerDriver.S);
         }
         assertThat(p.serve(READ, 20 * MS))
                 .as("its own answers are forgotten in time")
                 .isEqualTo(slow);
     }
 
-    private static long burst(ModuleDriver p, Endpoint... backends) {
+    private static long burst(LoadBalancerDriver p, Endpoint... backends) {
         p.list(backends);
         for (int i = 0; i < 100; i++) {
             p.arrive(READ);
--- a/src/test/java/beechfall/ChurnTest.java
+++ b/src/test/java/beechfall/EndpointChurnTest.java
@@ -1,10 +1,10 @@
 package beechfall;
 
-import static beechfall.ModuleDriver.READ;
-import static beechfall.ModuleDriver.S;
-import static beechfall.ModuleDriver.backend;
-import static beechfall.ModuleDriver.in;
-import static beechfall.ModuleDriver.started;
+import static beechfall.LoadBalancerDriver.READ;
+import static beechfall.LoadBalancerDriver.S;
+import static beechfall.LoadBalancerDriver.backend;
+import static beechfall.LoadBalancerDriver.in;
+import static beechfall.LoadBalancerDriver.started;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import beechfall.Event.EndpointUpdate;
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 
 /** Backends that come and go all day, as changes of the list tell it. */
-class ChurnTest {
-    private final ModuleDriver proxy = new ModuleDriver();
+class EndpointChurnTest {
+    private final LoadBalancerDriver proxy = new LoadBalancerDriver();
 
     /** Nothing is kept of what is gone, or the memory of a proxy grows with each backend it ever knew. */
     @Test
--- a/src/test/java/beechfall/PickTest.java
+++ b/src/test/java/beechfall/EndpointSelectionTest.java
@@ -1,10 +1,10 @@
 package beechfall;
 
-import static beechfall.ModuleDriver.MS;
-import static beechfall.ModuleDriver.READ;
-import static beechfall.ModuleDriver.S;
-import static beechfall.ModuleDriver.VOTE;
-import static beechfall.ModuleDriver.backend;
+import static beechfall.LoadBalancerDriver.MS;
+import static beechfall.LoadBalancerDriver.READ;
+import static beechfall.LoadBalancerDriver.S;
+import static beechfall.LoadBalancerDriver.VOTE;
+import static beechfall.LoadBalancerDriver.backend;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.ArrayDeque;
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 /** The earliest-deadline order and its weights. */
-class PickTest {
-    private final ModuleDriver proxy = new ModuleDriver();
+class EndpointSelectionTest {
+    private final LoadBalancerDriver proxy = new LoadBalancerDriver();
 
     @Test
     void worksThePapersTwoEndpointExample() {
@@ -84,7 +84,7 @@
         int failed = 0;
         for (int i = 0; i < 300; i++) {
             reads.merge(proxy.serve(READ, 10 * MS), 1, Integer::sum);
-            String id = proxy.arrive(ModuleDriver.VOTE);
+            String id = proxy.arrive(LoadBalancerDriver.VOTE);
             proxy.now += 10 * MS;
             boolean ill = proxy.lastSend(id).endpointId().equals("a");
             failed += ill ? 1 : 0;
@@ -151,7 +151,7 @@
     void aClassThatFailsEverywhereIsSentAllTheSame() {
         proxy.list(backend("a"), backend("b"));
         for (int i = 0; i < 20; i++) {
-            String id = proxy.arrive(ModuleDriver.VOTE);
+            String id = proxy.arrive(LoadBalancerDriver.VOTE);
             assertThat(proxy.sends(id)).isEqualTo(1);
             proxy.now += 10 * MS;
             proxy.end(id, AttemptOutcome.ERROR, 10 * MS);
@@ -194,8 +194,18 @@
         var backends = new Endpoint[] {backend("a"), backend("b"), backend("c"), backend("d")};
         var homes = new HashMap<String, String>();
         for (long seed = 1; seed <= 3; seed++) {
-            var p = new ModuleDriver(new BalancerSettings(
-                    3, 0, "a", MS, List.of(READ), List.of(), 1, true, ModuleDriver.LIMITS, ModuleDriver.RULES, seed));
+            var p = new LoadBalancerDriver(new BalancerSettings(
+                    3,
+                    0,
+                    "a",
+                    MS,
+                    List.of(READ),
+                    List.of(),
+                    1,
+                    true,
+                    LoadBalancerDriver.LIMITS,
+                    LoadBalancerDriver.RULES,
+                    seed));
             p.list(backends);
             for (int i = 0; i < 40; i++) {
                 String key = "key" + i;
@@ -235,11 +245,11 @@
 
     @Test
     void equalEventsGiveEqualActions() {
-        var other = new ModuleDriver();
-        for (ModuleDriver p : List.of(proxy, other)) {
-            p.list(backend("a"), backend("b", "k", "b", 2), ModuleDriver.started("c", p.now - S));
+        var other = new LoadBalancerDriver();
+        for (LoadBalancerDriver p : List.of(proxy, other)) {
+            p.list(backend("a"), backend("b", "k", "b", 2), LoadBalancerDriver.started("c", p.now - S));
             for (int i = 0; i < 300; i++) {
-                p.serve(i % 3 == 0 ? ModuleDriver.PAY : READ, (i * 7919L % 40 + 1) * MS);
+                p.serve(i % 3 == 0 ? LoadBalancerDriver.PAY : READ, (i * 7919L % 40 + 1) * MS);
             }
         }
         assertThat(proxy.actions).isEqualTo(other.actions);
@@ -247,7 +257,7 @@
 
     @Test
     void aBackendThatCannotBeReachedIsTriedEverMoreSeldom() {
-        var p = new ModuleDriver();
+        var p = new LoadBalancerDriver();
         p.list(backend("a"), backend("b"), backend("c"), backend("lost"));
         int tried = 0;
         for (int i = 0; i < 600; i++) {
@@ -265,7 +275,7 @@
 
     @Test
     void ifNearlyNoneCanBeReachedAllAreTriedOn() {
-        var p = new ModuleDriver();
+        var p = new LoadBalancerDriver();
         p.list(backend("a"), backend("b"));
         for (int i = 0; i < 20; i++) {
             String id = p.arrive(VOTE);
@@ -279,7 +289,7 @@
 
     @Test
     void aBackendThatErrsAtTimesIsTriedOn() {
-        var p = new ModuleDriver();
+        var p = new LoadBalancerDriver();
         p.list(backend("a"), backend("b"), backend("c"), backend("errs"));
         int toErring = 0;
         for (int i = 0; i < 4000; i++) {
--- a/src/test/java/beechfall/EmbeddingTest.java
+++ b/src/test/java/beechfall/LoadBalancerApiTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The embedding example of the README, and what a proxy is told when it gets its settings wrong. */
-class EmbeddingTest {
+class LoadBalancerApiTest {
     private static final RequestClass READ =
             new RequestClass("read", 600_000, 2_000_000, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0);
     private static final Limits LIMITS = new Limits(true, false, false, false, 4, 0, 0);
--- a/src/test/java/beechfall/ModuleDriver.java
+++ b/src/test/java/beechfall/LoadBalancerDriver.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 
 /** Stands in for the proxy round one module: it feeds the module by hand and keeps what the module asked for. */
-final class ModuleDriver {
+final class LoadBalancerDriver {
     static final long MS = 1_000;
     static final long S = 1_000_000;
 
@@ -41,11 +41,11 @@
     private final Set<SetTimer> fired = new HashSet<>();
     private int nextId;
 
-    ModuleDriver(BalancerSettings settings) {
+    LoadBalancerDriver(BalancerSettings settings) {
         policy = new EarliestDeadlineLoadBalancer(settings);
     }
 
-    ModuleDriver() {
+    LoadBalancerDriver() {
         this(settings(LIMITS, RULES));
     }
 
--- a/src/test/java/beechfall/LedgerTest.java
+++ b/src/test/java/beechfall/RandomEventsInvariantTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Random legal events, with the rules checked by books of the test's own. */
-class LedgerTest {
+class RandomEventsInvariantTest {
     private static final List<EndpointState> STATES =
             List.of(EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE);
 
@@ -33,7 +33,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24})
     void theRulesHoldWhateverHappens(long seed) {
-        var books = new Books(seed);
+        var books = new InvariantChecker(seed);
         books.run();
         assertThat(books.finals).isEqualTo(books.arrived);
         // That the run is worth something; how many are sent is the policy's own business.
@@ -42,13 +42,13 @@
 
     private record Due(long at, long order, Event event) {}
 
-    private static final class Try {
+    private static final class AttemptRecord {
         private final String backend;
         private final Endpoint sentTo;
         private final long sentAt;
         private AttemptOutcome outcome;
 
-        Try(Endpoint sentTo, long sentAt) {
+        AttemptRecord(Endpoint sentTo, long sentAt) {
             this.backend = sentTo.id();
             this.sentTo = sentTo;
             this.sentAt = sentAt;
@@ -61,23 +61,23 @@
         }
     }
 
-    private static final class Open {
+    private static final class OpenRequest {
         private final RequestClass type;
         private final long deadline;
-        private final List<Try> tries = new ArrayList<>();
+        private final List<AttemptRecord> tries = new ArrayList<>();
         private boolean over;
 
-        Open(RequestClass type, long deadline) {
+        OpenRequest(RequestClass type, long deadline) {
             this.type = type;
             this.deadline = deadline;
         }
     }
 
-    private static final class Books {
+    private static final class InvariantChecker {
         private final Random random;
         private final BalancerSettings settings;
         private final EarliestDeadlineLoadBalancer policy;
-        private final Map<String, Open> requests = new HashMap<>();
+        private final Map<String, OpenRequest> requests = new HashMap<>();
         private final Map<String, Endpoint> listed = new LinkedHashMap<>();
         private final Map<String, List<Long>> coldSends = new HashMap<>();
         private final PriorityQueue<Due> due = new PriorityQueue<>(
@@ -88,7 +88,7 @@
         private int finals;
         private int attemptsSent;
 
-        Books(long seed) {
+        InvariantChecker(long seed) {
             random = new Random(seed);
             var classes = new ArrayList<RequestClass>();
             for (Idempotency effect : Idempotency.values()) {
@@ -142,7 +142,7 @@
                 if (now < end) {
                     happen();
                 }
-                for (Open r : requests.values()) {
+                for (OpenRequest r : requests.values()) {
                     assertThat(r.over || now <= r.deadline + 3 * TICK)
                             .as("answered before the client leaves")
                             .isTrue();
@@ -158,7 +158,7 @@
                         .get(random.nextInt(settings.requestClasses().size()));
                 long left = (long) (type.deadlineUs() * (0.2 + 0.8 * random.nextDouble()));
                 String id = "q" + arrived++;
-                requests.put(id, new Open(type, now + left));
+                requests.put(id, new OpenRequest(type, now + left));
                 feed(new RequestArrived(
                         id, type.name(), random.nextBoolean() ? "t" : null, null, left, random.nextInt(5) == 0));
             }
@@ -191,11 +191,11 @@
 
         private void deliver(Event event) {
             if (event instanceof AttemptEnded e) {
-                Open r = requests.get(e.requestId());
+                OpenRequest r = requests.get(e.requestId());
                 if (r == null || r.tries.get(e.attempt()).outcome != null) {
                     return;
                 }
-                Try t = r.tries.get(e.attempt());
+                AttemptRecord t = r.tries.get(e.attempt());
                 t.outcome = e.outcome();
                 boolean closes = e.outcome() == AttemptOutcome.SUCCESS && !r.over;
                 if (closes) {
@@ -204,7 +204,7 @@
                 }
                 feed(new AttemptEnded(e.requestId(), e.attempt(), e.endpointId(), e.outcome(), e.latencyUs(), r.over));
             } else if (event instanceof ClientDisconnected e) {
-                Open r = requests.get(e.requestId());
+                OpenRequest r = requests.get(e.requestId());
                 if (r != null && !r.over) {
                     r.over = true;
                     finals++;
@@ -225,7 +225,7 @@
                     over(a.requestId());
                 } else if (action instanceof CancelAttempt a) {
                     assertThat(settings.limits().cancellation()).isTrue();
-                    Try t = requests.get(a.requestId()).tries.get(a.attempt());
+                    AttemptRecord t = requests.get(a.requestId()).tries.get(a.attempt());
                     due.add(new Due(
                             now + TICK,
                             order++,
@@ -245,15 +245,15 @@
         }
 
         private void over(String id) {
-            Open r = requests.get(id);
+            OpenRequest r = requests.get(id);
             assertThat(r.over).as("one final answer").isFalse();
             r.over = true;
             finals++;
         }
 
         private void refused(String id) {
-            Open r = requests.get(id);
-            for (Try t : r.tries) {
+            OpenRequest r = requests.get(id);
+            for (AttemptRecord t : r.tries) {
                 if (t.mayHaveRun(settings.safetyLimits())) {
                     assertThat(r.type.idempotency()).isNotEqualTo(Idempotency.NOT_IDEMPOTENT);
                     assertThat(r.type.idempotency() == Idempotency.IDEMPOTENT
@@ -265,7 +265,7 @@
         }
 
         private void sent(StartAttempt a) {
-            Open r = requests.get(a.requestId());
+            OpenRequest r = requests.get(a.requestId());
             Endpoint to = listed.get(a.endpointId());
             attemptsSent++;
             assertThat(r.over).as("nothing after the final answer").isFalse();
@@ -274,7 +274,7 @@
             assertThat(r.tries.size()).isLessThan(settings.limits().maxAttempts());
             assertThat(a.timeoutUs()).isPositive();
             assertThat(now + a.timeoutUs()).isLessThanOrEqualTo(r.deadline);
-            for (Try t : r.tries) {
+            for (AttemptRecord t : r.tries) {
                 assertThat(settings.limits().hedging() || t.outcome != null).isTrue();
                 if (t.mayHaveRun(settings.safetyLimits()) && r.type.idempotency() != Idempotency.IDEMPOTENT) {
                     assertThat(r.type.idempotency()).isEqualTo(Idempotency.IDEMPOTENT_WITH_KEY);
@@ -290,7 +290,7 @@
                 }
             }
             cold(to);
-            r.tries.add(new Try(to, now));
+            r.tries.add(new AttemptRecord(to, now));
             int attempt = r.tries.size() - 1;
             AttemptOutcome outcome = random.nextInt(10) < 6
                     ? AttemptOutcome.SUCCESS
--- a/src/test/java/beechfall/RulesTest.java
+++ b/src/test/java/beechfall/SafetyInvariantsTest.java
@@ -1,15 +1,15 @@
 package beechfall;
 
-import static beechfall.ModuleDriver.BOOK;
-import static beechfall.ModuleDriver.LIMITS;
-import static beechfall.ModuleDriver.MS;
-import static beechfall.ModuleDriver.NOTE;
-import static beechfall.ModuleDriver.PAY;
-import static beechfall.ModuleDriver.READ;
-import static beechfall.ModuleDriver.RULES;
-import static beechfall.ModuleDriver.S;
-import static beechfall.ModuleDriver.VOTE;
-import static beechfall.ModuleDriver.backend;
+import static beechfall.LoadBalancerDriver.BOOK;
+import static beechfall.LoadBalancerDriver.LIMITS;
+import static beechfall.LoadBalancerDriver.MS;
+import static beechfall.LoadBalancerDriver.NOTE;
+import static beechfall.LoadBalancerDriver.PAY;
+import static beechfall.LoadBalancerDriver.READ;
+import static beechfall.LoadBalancerDriver.RULES;
+import static beechfall.LoadBalancerDriver.S;
+import static beechfall.LoadBalancerDriver.VOTE;
+import static beechfall.LoadBalancerDriver.backend;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import beechfall.Action.CancelAttempt;
@@ -30,8 +30,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The rules, one group each. */
-class RulesTest {
-    private final ModuleDriver proxy = new ModuleDriver();
+class SafetyInvariantsTest {
+    private final LoadBalancerDriver proxy = new LoadBalancerDriver();
 
     @Nested
     class NoRequestIsLost {
@@ -81,7 +81,8 @@
 
         @Test
         void withoutLeaveToCancelNothingIsCancelled() {
-            var p = new ModuleDriver(ModuleDriver.settings(new Limits(false, false, false, false, 4, 0, 0), RULES));
+            var p = new LoadBalancerDriver(
+                    LoadBalancerDriver.settings(new Limits(false, false, false, false, 4, 0, 0), RULES));
             p.list(backend("a"));
             String id = p.arrive(READ);
             assertThat(p.feed(new ClientDisconnected(id))).isEmpty();
@@ -169,7 +170,7 @@
         void aKeyedRequestIsNotSentAgainPastItsWindow() {
             var shortWindow = new RequestClass(
                     "pay", 600 * MS, 2 * S, 10, 0, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE, 100 * MS);
-            var p = new ModuleDriver(
+            var p = new LoadBalancerDriver(
                     new BalancerSettings(1, 0, "a", MS, List.of(shortWindow), List.of(), 1, false, LIMITS, RULES, 1));
             p.list(backend("a"), backend("b"));
             String id = p.arrive(shortWindow);
@@ -184,7 +185,7 @@
             long connectUs = 200 * MS;
             var shortWindow = new RequestClass(
                     "pay", 600 * MS, 2 * S, 10, 0, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE, 400 * MS);
-            var p = new ModuleDriver(new BalancerSettings(
+            var p = new LoadBalancerDriver(new BalancerSettings(
                     1,
                     0,
                     "a",
@@ -237,8 +238,8 @@
 
     @Nested
     class FullIsNoProofWhereTheRulesSaySo {
-        private final ModuleDriver doubting =
-                new ModuleDriver(ModuleDriver.settings(LIMITS, new SafetyLimits(0.4, 8 * S, 4, S, 10 * S, true)));
+        private final LoadBalancerDriver doubting = new LoadBalancerDriver(
+                LoadBalancerDriver.settings(LIMITS, new SafetyLimits(0.4, 8 * S, 4, S, 10 * S, true)));
 
         @Test
         void anUnsafeRequestIsNeitherSentAgainNorRefused() {
@@ -280,7 +281,7 @@
             proxy.list(backend("a"));
             String id = proxy.arrive(VOTE);
             assertThat(proxy.feed(new EndpointUpdate(
-                            UpdateKind.DELTA, List.of(ModuleDriver.in(EndpointState.DRAINING, "a")))))
+                            UpdateKind.DELTA, List.of(LoadBalancerDriver.in(EndpointState.DRAINING, "a")))))
                     .containsExactly(new CloseIdleConnections("a"));
             assertThat(proxy.end(id, AttemptOutcome.SUCCESS, MS)).containsExactly(new CloseIdleConnections("a"));
         }
@@ -291,7 +292,8 @@
             String id = proxy.arrive(READ);
             String to = proxy.lastSend(id).endpointId();
             proxy.feed(new ClientDisconnected(id));
-            proxy.feed(new EndpointUpdate(UpdateKind.DELTA, List.of(ModuleDriver.in(EndpointState.DRAINING, to))));
+            proxy.feed(
+                    new EndpointUpdate(UpdateKind.DELTA, List.of(LoadBalancerDriver.in(EndpointState.DRAINING, to))));
             assertThat(proxy.end(id, AttemptOutcome.CANCELLED, MS)).containsExactly(new CloseIdleConnections(to));
         }
 
@@ -311,7 +313,9 @@
             proxy.list(backend("a"), backend("b"), backend("c"));
             proxy.feed(new EndpointUpdate(
                     UpdateKind.DELTA,
-                    List.of(ModuleDriver.in(EndpointState.DRAINING, "a"), ModuleDriver.in(EndpointState.GONE, "b"))));
+                    List.of(
+                            LoadBalancerDriver.in(EndpointState.DRAINING, "a"),
+                            LoadBalancerDriver.in(EndpointState.GONE, "b"))));
             for (int i = 0; i < 10; i++) {
                 assertThat(proxy.serve(READ, MS)).isEqualTo("c");
             }
@@ -329,14 +333,14 @@
         @Test
         void aListWhereAllDrainLeavesNothingToSendTo() {
             proxy.list(backend("a"));
-            proxy.list(ModuleDriver.in(EndpointState.DRAINING, "a"));
+            proxy.list(LoadBalancerDriver.in(EndpointState.DRAINING, "a"));
             String id = proxy.arrive(READ);
             assertThat(proxy.sends(id)).isZero();
         }
 
         @Test
         void aDrainedBackendMayComeBack() {
-            proxy.list(ModuleDriver.in(EndpointState.DRAINING, "a"));
+            proxy.list(LoadBalancerDriver.in(EndpointState.DRAINING, "a"));
             proxy.feed(new EndpointUpdate(UpdateKind.DELTA, List.of(backend("a"))));
             assertThat(proxy.serve(READ, MS)).isEqualTo("a");
         }
@@ -345,7 +349,7 @@
         void aBackendThatDrainsAndComesBackInOneUpdateIsListedOnce() {
             proxy.list(backend("a"), backend("b"));
             proxy.feed(new EndpointUpdate(
-                    UpdateKind.DELTA, List.of(ModuleDriver.in(EndpointState.DRAINING, "a"), backend("a"))));
+                    UpdateKind.DELTA, List.of(LoadBalancerDriver.in(EndpointState.DRAINING, "a"), backend("a"))));
             int toA = 0;
             for (int i = 0; i < 12; i++) {
                 toA += proxy.serve(READ, MS).equals("a") ? 1 : 0;
@@ -355,7 +359,8 @@
 
         @Test
         void aListThatMustBeAskedForIsAskedForAtOnceAndAgainAfterAFailure() {
-            var p = new ModuleDriver(ModuleDriver.settings(new Limits(true, false, false, true, 4, 0, 0), RULES));
+            var p = new LoadBalancerDriver(
+                    LoadBalancerDriver.settings(new Limits(true, false, false, true, 4, 0, 0), RULES));
             assertThat(p.feed(new EndpointUpdate(UpdateKind.CACHED, List.of(backend("a")))))
                     .contains(new WatchEndpoints(true));
             List<Action> after = p.feed(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
@@ -371,7 +376,8 @@
         @ValueSource(longs = {50 * MS, 500 * MS, 10 * S, 60 * S, 3_600 * S})
         void theNextCallIsMadeWithinTheBoundAfterAnyRowOfFailures(long askWithinUs) {
             var rules = new SafetyLimits(0.4, 8 * S, 4, S, askWithinUs, false);
-            var p = new ModuleDriver(ModuleDriver.settings(new Limits(true, false, false, true, 4, 0, 0), rules));
+            var p = new LoadBalancerDriver(
+                    LoadBalancerDriver.settings(new Limits(true, false, false, true, 4, 0, 0), rules));
             long boundUs = Math.min(DiscoveryBackoff.MAX_DELAY_US, askWithinUs);
             p.feed(new EndpointUpdate(UpdateKind.CACHED, List.of(backend("a"))));
             for (int i = 0; i < 40; i++) {
@@ -388,7 +394,7 @@
             }
         }
 
-        private static long watches(ModuleDriver p) {
+        private static long watches(LoadBalancerDriver p) {
             return p.actions.stream().filter(new WatchEndpoints(true)::equals).count();
         }
 
@@ -402,7 +408,8 @@
         /** Each call is priced over the whole fleet: in an outage they grow rare, up to the bound. */
         @Test
         void callsThatFailGrowRare() {
-            var p = new ModuleDriver(ModuleDriver.settings(new Limits(true, false, false, true, 4, 0, 0), RULES));
+            var p = new LoadBalancerDriver(
+                    LoadBalancerDriver.settings(new Limits(true, false, false, true, 4, 0, 0), RULES));
             p.feed(new EndpointUpdate(UpdateKind.CACHED, List.of(backend("a"))));
             var delays = new ArrayList<Long>();
             for (int i = 0; i < 6; i++) {
@@ -420,7 +427,8 @@
         /** Each new watch costs a call or two, also where each is answered first and ends right after. */
         @Test
         void aWatchThatEndsAgainAndAgainIsBegunAnewMoreAndMoreRarely() {
-            var p = new ModuleDriver(ModuleDriver.settings(new Limits(true, false, false, true, 4, 0, 0), RULES));
+            var p = new LoadBalancerDriver(
+                    LoadBalancerDriver.settings(new Limits(true, false, false, true, 4, 0, 0), RULES));
             p.feed(new EndpointUpdate(UpdateKind.CACHED, List.of(backend("a"))));
             for (int i = 0; i < 4; i++) {
                 p.feed(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
@@ -433,7 +441,7 @@
             assertThat(delayAfterAFailure(p)).isLessThanOrEqualTo(200 * MS);
         }
 
-        private static long delayAfterAFailure(ModuleDriver p) {
+        private static long delayAfterAFailure(LoadBalancerDriver p) {
             SetTimer timer = (SetTimer) p.feed(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()))
                     .get(0);
             return timer.atUs() - p.now;
@@ -441,8 +449,9 @@
 
         @Test
         void proxiesDoNotAskAgainInStep() {
-            var p = new ModuleDriver(ModuleDriver.settings(new Limits(true, false, false, true, 4, 0, 0), RULES));
-            var q = new ModuleDriver(new BalancerSettings(
+            var p = new LoadBalancerDriver(
+                    LoadBalancerDriver.settings(new Limits(true, false, false, true, 4, 0, 0), RULES));
+            var q = new LoadBalancerDriver(new BalancerSettings(
                     1,
                     0,
                     "a",
@@ -487,7 +496,7 @@
         }
 
         private int sentInOneSecond(AttemptOutcome outcome) {
-            proxy.list(ModuleDriver.started("cold", proxy.now));
+            proxy.list(LoadBalancerDriver.started("cold", proxy.now));
             int before = proxy.actions.size();
             for (int i = 0; i < 1000; i++) {
                 proxy.now += MS;
@@ -504,7 +513,7 @@
 
         @Test
         void oneOfManyProxiesMayStillSendItWhatItsLikeBear() {
-            var p = new ModuleDriver(
+            var p = new LoadBalancerDriver(
                     new BalancerSettings(9, 3, "a", MS, List.of(READ), List.of(), 1, false, LIMITS, RULES, 1));
             var backends = new Endpoint[4];
             for (int i = 0; i < 4; i++) {
@@ -514,7 +523,7 @@
             for (int i = 0; i < 3000; i++) {
                 p.serve(READ, 10 * MS);
             }
-            backends[3] = ModuleDriver.started("s3", p.now);
+            backends[3] = LoadBalancerDriver.started("s3", p.now);
             p.list(backends);
             int toCold = 0;
             for (int i = 0; i < 200; i++) {
@@ -530,7 +539,7 @@
             for (int i = 0; i < 100; i++) {
                 proxy.serve(READ, 50 * MS);
             }
-            proxy.list(ModuleDriver.started("a", proxy.now));
+            proxy.list(LoadBalancerDriver.started("a", proxy.now));
             long sent = 0;
             for (int i = 0; i < 100; i++) {
                 String id = proxy.arrive(READ);
@@ -544,7 +553,7 @@
 
         @Test
         void itIsWarmInTheEnd() {
-            proxy.list(ModuleDriver.started("a", proxy.now - RULES.slowStartUs()));
+            proxy.list(LoadBalancerDriver.started("a", proxy.now - RULES.slowStartUs()));
             for (int i = 0; i < 100; i++) {
                 assertThat(proxy.serve(READ, 0)).isEqualTo("a");
             }
--- a/src/test/java/beechfall/ColdBackendFleetTest.java
+++ b/src/test/java/beechfall/SlowStartFleetTest.java
@@ -1,9 +1,9 @@
 package beechfall;
 
-import static beechfall.ModuleDriver.LIMITS;
-import static beechfall.ModuleDriver.MS;
-import static beechfall.ModuleDriver.READ;
-import static beechfall.ModuleDriver.S;
+import static beechfall.LoadBalancerDriver.LIMITS;
+import static beechfall.LoadBalancerDriver.MS;
+import static beechfall.LoadBalancerDriver.READ;
+import static beechfall.LoadBalancerDriver.S;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import beechfall.Action.SetTimer;
@@ -27,7 +27,7 @@
  * Rule 4 over a whole fleet: what all proxies together send to a cold backend. Traffic is uneven: one proxy in five gets
  * eight times as much as each of the others. It is calm before the burst, so that unused budget could be saved up.
  */
-class ColdBackendFleetTest {
+class SlowStartFleetTest {
     private static final SafetyLimits RULES = new SafetyLimits(0.4, 20 * S, 1.5, S, 10 * S, false);
     /** A backend serves one request at a time. */
     private static final long SERVICE_US = 100 * MS;
@@ -99,7 +99,7 @@
 
         void run() {
             for (int i = 0; i < size; i++) {
-                backends.put("s" + i, ModuleDriver.backend("s" + i));
+                backends.put("s" + i, LoadBalancerDriver.backend("s" + i));
             }
             at(0, () -> tell(UpdateKind.SNAPSHOT, List.copyOf(backends.values())));
             at(STARTED_AT, this::startCold);
@@ -127,15 +127,15 @@
         private void startCold() {
             var news = new ArrayList<Endpoint>();
             for (int i = 0; i < size / RESTARTED; i++) {
-                news.add(ModuleDriver.started("s" + i, now));
-                news.add(ModuleDriver.started("new" + i, now));
+                news.add(LoadBalancerDriver.started("s" + i, now));
+                news.add(LoadBalancerDriver.started("new" + i, now));
             }
             news.forEach(b -> backends.put(b.id(), b));
             tell(UpdateKind.DELTA, news);
         }
 
         private void changeList() {
-            tell(UpdateKind.DELTA, List.of(ModuleDriver.in(EndpointState.GONE, "other" + now / S)));
+            tell(UpdateKind.DELTA, List.of(LoadBalancerDriver.in(EndpointState.GONE, "other" + now / S)));
             at(now + S, this::changeList);
         }
 
--- a/src/test/java/beechfall/proxy/LeavingTest.java
+++ b/src/test/java/beechfall/proxy/ClientDisconnectTest.java
@@ -20,10 +20,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Clients that leave while their requests wait, and those that only end their sending. */
-class LeavingTest {
-    private static final Fixture.Module SILENT = (event, actions) -> {};
+class ClientDisconnectTest {
+    private static final ProxyFixture.Module SILENT = (event, actions) -> {};
 
-    private static void leave(Wire client, boolean reset) throws IOException {
+    private static void leave(RawConnection client, boolean reset) throws IOException {
         if (reset) {
             client.socket.setSoLinger(true, 0);
         }
@@ -31,8 +31,8 @@
     }
 
     private static UnaryOperator<String> knowing(FullBacklog backend) {
-        String list = "\"servers\":[" + Fixture.entry("s0", backend.address(), "ready") + "]";
-        return c -> Fixture.PATIENT.apply(c).replace("\"servers\":[]", list);
+        String list = "\"servers\":[" + ProxyFixture.entry("s0", backend.address(), "ready") + "]";
+        return c -> ProxyFixture.PATIENT.apply(c).replace("\"servers\":[]", list);
     }
 
     /** Holds the proxy's loop up. */
@@ -45,14 +45,14 @@
     }
 
     /** Leaves, and waits until the proxy has not read the connection for long enough to do so before an attempt. */
-    private static void leaveUnread(Wire client, String how) throws Exception {
+    private static void leaveUnread(RawConnection client, String how) throws Exception {
         if (how.equals("end")) {
             client.socket.shutdownOutput();
         } else {
             leave(client, how.equals("reset"));
         }
         long from = System.nanoTime();
-        Peer.until(() -> System.nanoTime() - from > 40_000_000);
+        ScriptedServer.until(() -> System.nanoTime() - from > 40_000_000);
     }
 
     /**
@@ -64,7 +64,7 @@
     @Timeout(30)
     void noAttemptBeginsWhereTheCloseLiesUnread(String id, String how) throws Exception {
         var release = new CountDownLatch(1);
-        Fixture.Module module = (event, actions) -> {
+        ProxyFixture.Module module = (event, actions) -> {
             if (event instanceof RequestArrived a && !a.requestId().equals("r2")) {
                 actions.accept(new StartAttempt(a.requestId(), "s0", 0));
             } else if (event instanceof AttemptEnded e && e.outcome() == AttemptOutcome.ERROR) {
@@ -72,25 +72,25 @@
                 actions.accept(new StartAttempt(id, "s0", 0));
             }
         };
-        try (var backend = new Peer();
-                var proxy = new Fixture(module, Fixture.PATIENT, backend);
-                var first = proxy.client().send(Fixture.patient("r1"));
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(module, ProxyFixture.PATIENT, backend);
+                var first = proxy.client().send(ProxyFixture.patient("r1"));
                 var queued = proxy.client()) {
-            Wire attempt = backend.accept();
+            RawConnection attempt = backend.accept();
             attempt.read();
-            queued.send(Fixture.patient("r2"));
+            queued.send(ProxyFixture.patient("r2"));
             while (!proxy.next(RequestArrived.class).requestId().equals("r2")) {
                 // the one before
             }
             try {
-                attempt.send(Peer.answer("500 Internal Server Error", "x"));
+                attempt.send(ScriptedServer.answer("500 Internal Server Error", "x"));
                 proxy.next(AttemptEnded.class);
                 leaveUnread(id.equals("r1") ? first : queued, how);
             } finally {
                 release.countDown();
             }
             try (var next = proxy.client()) {
-                next.send(Fixture.patient("next"));
+                next.send(ProxyFixture.patient("next"));
                 assertThat(attempt.read().header("X-Request-ID")).isEqualTo("next");
                 assertThat(proxy.next(ClientDisconnected.class).requestId()).isEqualTo(id);
                 AttemptEnded end = proxy.next(AttemptEnded.class);
@@ -107,22 +107,22 @@
     @Timeout(30)
     void nothingIsWrittenToANewConnectionWhereTheCloseLiesUnread(String how) throws Exception {
         var release = new CountDownLatch(1);
-        Fixture.Module module = (event, actions) -> {
+        ProxyFixture.Module module = (event, actions) -> {
             if (event instanceof RequestArrived a && a.requestId().equals("hold")) {
                 hold(release);
             } else {
-                Fixture.sendTo("s0").handle(event, actions);
+                ProxyFixture.sendTo("s0").handle(event, actions);
             }
         };
         try (var backend = new FullBacklog();
-                var proxy = new Fixture(module, knowing(backend));
-                var client = proxy.client().send(Fixture.patient("r1"));
+                var proxy = new ProxyFixture(module, knowing(backend));
+                var client = proxy.client().send(ProxyFixture.patient("r1"));
                 var holding = proxy.client()) {
             proxy.next(RequestArrived.class);
             proxy.settle();
-            Wire attempt;
+            RawConnection attempt;
             try {
-                holding.send(Fixture.patient("hold"));
+                holding.send(ProxyFixture.patient("hold"));
                 proxy.next(RequestArrived.class);
                 attempt = backend.admit();
                 leaveUnread(client, how);
@@ -140,12 +140,12 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void aRequestWhoseClientLeavesWhileItWaitsIsNotSentOn(boolean reset) throws Exception {
-        var clients = new ArrayList<Wire>();
-        try (var backend = new Peer();
-                var proxy = Fixture.inService(Fixture.PATIENT, backend)) {
-            var attempts = new ArrayList<Wire>();
+        var clients = new ArrayList<RawConnection>();
+        try (var backend = new ScriptedServer();
+                var proxy = ProxyFixture.inService(ProxyFixture.PATIENT, backend)) {
+            var attempts = new ArrayList<RawConnection>();
             for (int i = 0; clients.size() < proxy.sends.size() + 2; i++) {
-                clients.add(proxy.client().send(Fixture.patient("r" + i)));
+                clients.add(proxy.client().send(ProxyFixture.patient("r" + i)));
                 proxy.next(RequestArrived.class);
                 proxy.settle();
             }
@@ -161,9 +161,9 @@
             assertThat(proxy.next(ClientDisconnected.class).requestId()).isEqualTo("r" + waiting);
             var served = new ArrayList<String>(sent);
             for (int i = 0; i < attempts.size(); i++) {
-                Wire attempt = attempts.get(i);
+                RawConnection attempt = attempts.get(i);
                 attempt.read();
-                attempt.send(Peer.answer("200 OK", "x", "Connection: close"));
+                attempt.send(ScriptedServer.answer("200 OK", "x", "Connection: close"));
                 proxy.next(AttemptEnded.class);
                 proxy.settle();
                 while (served.size() < proxy.sends.size()) {
@@ -177,9 +177,9 @@
                     .doesNotHaveDuplicates();
             // Nothing is kept of it: not its place, nor its connection, nor a timer that would answer it.
             assertThat(proxy.held()).isZero();
-            Peer.until(() -> proxy.connected() == clients.size() - 1);
+            ScriptedServer.until(() -> proxy.connected() == clients.size() - 1);
         } finally {
-            for (Wire client : clients) {
+            for (RawConnection client : clients) {
                 client.close();
             }
         }
@@ -190,12 +190,12 @@
     @ValueSource(booleans = {false, true})
     void whatStillConnectsIsNotSentForAClientThatHasLeft(boolean reset) throws Exception {
         try (var full = new FullBacklog();
-                var proxy = new Fixture(
-                        Fixture.watching("s1"),
-                        Fixture.PATIENT.andThen(c -> c.replace("\"cancel\":true", "\"cancel\":false"))::apply);
+                var proxy = new ProxyFixture(
+                        ProxyFixture.watching("s1"),
+                        ProxyFixture.PATIENT.andThen(c -> c.replace("\"cancel\":true", "\"cancel\":false"))::apply);
                 var client = proxy.client()) {
-            proxy.list(Fixture.entry("s1", full.address(), "ready"));
-            client.send(Fixture.patient("r1"));
+            proxy.list(ProxyFixture.entry("s1", full.address(), "ready"));
+            client.send(ProxyFixture.patient("r1"));
             proxy.next(RequestArrived.class);
             leave(client, reset);
             assertThat(proxy.next(ClientDisconnected.class).requestId()).isEqualTo("r1");
@@ -211,7 +211,7 @@
     @Test
     void aRetryThatStillConnectsIsNotSentForAClientThatHasLeft() throws Exception {
         try (var full = new FullBacklog();
-                var proxy = new Fixture(
+                var proxy = new ProxyFixture(
                         (event, actions) -> {
                             if (event instanceof RequestArrived a) {
                                 actions.accept(new StartAttempt(a.requestId(), "unknown", 0));
@@ -220,28 +220,28 @@
                             }
                         },
                         knowing(full))) {
-            Wire client = proxy.client().send(Fixture.patient("r1"));
+            RawConnection client = proxy.client().send(ProxyFixture.patient("r1"));
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
             client.close();
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
-            Peer.until(() -> proxy.held() == 0);
+            ScriptedServer.until(() -> proxy.held() == 0);
         }
     }
 
     /** An attempt that is out goes on where it may not be called off; its answer is nobody's. */
     @Test
     void whatIsOutGoesOnWhereItMayNotBeCalledOff() throws Exception {
-        try (var backend = new Peer();
-                var proxy = Fixture.inService(
-                        c -> Fixture.PATIENT.apply(c).replace("\"cancel\":true", "\"cancel\":false"), backend)) {
-            Wire attempt;
+        try (var backend = new ScriptedServer();
+                var proxy = ProxyFixture.inService(
+                        c -> ProxyFixture.PATIENT.apply(c).replace("\"cancel\":true", "\"cancel\":false"), backend)) {
+            RawConnection attempt;
             try (var client = proxy.client()) {
-                client.send(Fixture.patient("r1"));
+                client.send(ProxyFixture.patient("r1"));
                 attempt = backend.accept();
                 attempt.read();
             }
             proxy.next(ClientDisconnected.class);
-            attempt.send(Peer.ok("x"));
+            attempt.send(ScriptedServer.ok("x"));
             AttemptEnded end = proxy.next(AttemptEnded.class);
             assertThat(end.outcome()).isEqualTo(AttemptOutcome.SUCCESS);
             assertThat(end.requestEnded()).isTrue();
@@ -254,9 +254,9 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void aClientThatFloodsAndLeavesIsNoticed(boolean reset) throws Exception {
-        try (var proxy = new Fixture(SILENT);
+        try (var proxy = new ProxyFixture(SILENT);
                 var client = proxy.client()) {
-            client.send(Fixture.patient("r1") + "RUBBISH\r\n\r\n");
+            client.send(ProxyFixture.patient("r1") + "RUBBISH\r\n\r\n");
             proxy.next(RequestArrived.class);
             String more = "x".repeat(65_536);
             try {
@@ -268,17 +268,17 @@
             }
             leave(client, reset);
             assertThat(proxy.next(ClientDisconnected.class).requestId()).isEqualTo("r1");
-            Peer.until(() -> proxy.connected() == 0);
+            ScriptedServer.until(() -> proxy.connected() == 0);
         }
     }
 
     /** It sends nothing more, and may have gone; but it may still read, and is owed one whole answer. */
     @Test
     void aClientThatEndsItsSendingIsAnswered() throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(Fixture.sendTo("s0"), backend);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
-            client.send(Fixture.patient("r1"));
+            client.send(ProxyFixture.patient("r1"));
             backend.accept().read();
             client.socket.shutdownOutput();
             assertThat(client.read().status()).isEqualTo(502);
@@ -290,9 +290,9 @@
     /** Its requests are answered in their order, also those sent ahead; what has not begun has run nowhere. */
     @Test
     void aClientThatSendsAheadAndEndsItsSendingIsAnswered() throws Exception {
-        try (var proxy = new Fixture(SILENT);
+        try (var proxy = new ProxyFixture(SILENT);
                 var client = proxy.client()) {
-            client.send(Fixture.patient("r1") + Fixture.patient("r2"));
+            client.send(ProxyFixture.patient("r1") + ProxyFixture.patient("r2"));
             proxy.next(RequestArrived.class);
             client.socket.shutdownOutput();
             assertThat(client.read().status()).isEqualTo(502);
--- a/src/test/java/beechfall/proxy/ConfigFileWatcherTest.java
+++ b/src/test/java/beechfall/proxy/ConfigFileWatcherTest.java
@@ -26,10 +26,10 @@
 
     @BeforeEach
     void readConfig() throws Exception {
-        file = Files.writeString(folder.resolve("config.json"), Fixture.config(FIRST));
+        file = Files.writeString(folder.resolve("config.json"), ProxyFixture.config(FIRST));
         watcher = new ConfigFileWatcher(
                 file,
-                Config.read(file),
+                ProxyConfig.read(file),
                 config -> taken.add("127.0.0.1:" + config.discovery().getPort()),
                 reason -> invalid.add(reason.getMessage()));
     }
@@ -38,7 +38,7 @@
     void takesEachReplacementOnce() throws Exception {
         poll(3);
         assertThat(taken).isEmpty();
-        Files.writeString(file, Fixture.config(SECOND));
+        Files.writeString(file, ProxyFixture.config(SECOND));
         poll(3);
         assertThat(taken).containsExactly(SECOND);
     }
@@ -46,7 +46,7 @@
     /** A file that is written piece by piece, or missing between two, is read until it parses; each state is told once. */
     @Test
     void waitsForAnInvalidFileToBecomeValid() throws Exception {
-        String config = Fixture.config(SECOND);
+        String config = ProxyFixture.config(SECOND);
         Files.delete(file);
         poll(3);
         assertThat(invalid).hasSize(1);
@@ -65,7 +65,7 @@
     void seesAWriteThatLeavesSizeAndTimeAsTheyWere() throws Exception {
         watcher.poll();
         FileTime modified = Files.getLastModifiedTime(file);
-        Files.writeString(file, Fixture.config(SECOND));
+        Files.writeString(file, ProxyFixture.config(SECOND));
         Files.setLastModifiedTime(file, modified);
         watcher.poll();
         assertThat(taken).containsExactly(SECOND);
--- a/src/test/java/beechfall/proxy/DescriptorReserveTest.java
+++ b/src/test/java/beechfall/proxy/DescriptorReserveTest.java
@@ -30,18 +30,18 @@
 
     private static final String READY = "GET /ready HTTP/1.1\r\n\r\n";
 
-    private final List<Wire> crowd = new ArrayList<>();
+    private final List<RawConnection> crowd = new ArrayList<>();
 
     @AfterEach
     void dispersed() throws IOException {
-        for (Wire client : crowd) {
+        for (RawConnection client : crowd) {
             client.close();
         }
     }
 
     private void crowd(int port, int size, String sent) throws IOException {
         for (int i = 0; i < size; i++) {
-            Wire client = Wire.to(port);
+            RawConnection client = RawConnection.to(port);
             crowd.add(client);
             try {
                 client.send(sent);
@@ -52,8 +52,8 @@
     }
 
     private static boolean answers(int port, String request, int status) {
-        try (Wire client = Wire.to(port)) {
-            Wire.Message answer = client.send(request).read();
+        try (RawConnection client = RawConnection.to(port)) {
+            RawConnection.Message answer = client.send(request).read();
             return answer != null && answer.status() == status;
         } catch (IOException e) {
             return false;
@@ -65,25 +65,27 @@
         return switch (kind) {
             case "silent" -> "";
             case "idle" -> READY;
-            default -> Fixture.post("half", "body").replace("body", "bo");
+            default -> ProxyFixture.post("half", "body").replace("body", "bo");
         };
     }
 
     @ParameterizedTest
     @CsvSource({"silent,false", "silent,true", "idle,false", "idle,true", "half,false", "half,true"})
     void getsItsListAndServesInACrowd(String kind, boolean refuses) throws Exception {
-        try (var backend = new Peer();
-                var proxy = Fixture.inService(LIMIT)) {
-            backend.always(Peer.ok("served"));
+        try (var backend = new ScriptedServer();
+                var proxy = ProxyFixture.inService(LIMIT)) {
+            backend.always(ScriptedServer.ok("served"));
             crowd(proxy.address.getPort(), CROWD, opening(kind));
             if (refuses) {
                 proxy.discovery.accept().close();
             }
             proxy.settle();
             assertThat(proxy.connected()).isPositive();
-            proxy.discovery.always(Peer.ok(Fixture.list(42, true, Fixture.entry("s0", backend.address(), "ready"))));
-            Peer.until(() -> answers(proxy.address.getPort(), READY, 200));
-            assertThat(answers(proxy.address.getPort(), Fixture.get("r1"), 200)).isTrue();
+            proxy.discovery.always(ScriptedServer.ok(
+                    ProxyFixture.list(42, true, ProxyFixture.entry("s0", backend.address(), "ready"))));
+            ScriptedServer.until(() -> answers(proxy.address.getPort(), READY, 200));
+            assertThat(answers(proxy.address.getPort(), ProxyFixture.get("r1"), 200))
+                    .isTrue();
         }
     }
 
@@ -95,52 +97,52 @@
         int requests = backends - 1;
         var read = new CountDownLatch(1);
         var spoilt = new CountDownLatch(1);
-        Fixture.Module module = (event, actions) -> {
+        ProxyFixture.Module module = (event, actions) -> {
             if (event instanceof RequestArrived a && a.requestId().equals("held")) {
-                Peer.await(read);
+                ScriptedServer.await(read);
                 actions.accept(new Reject(a.requestId(), 0));
             } else if (event instanceof RequestArrived a) {
                 if (a.requestId().startsWith("again")) {
-                    Peer.await(spoilt);
+                    ScriptedServer.await(spoilt);
                 }
-                Fixture.sendTo("s" + a.requestId().replaceAll("\\D", "")).handle(event, actions);
+                ProxyFixture.sendTo("s" + a.requestId().replaceAll("\\D", "")).handle(event, actions);
             } else {
-                Fixture.sendTo("").handle(event, actions);
+                ProxyFixture.sendTo("").handle(event, actions);
             }
         };
-        try (var backend = new Peer();
-                var proxy = new Fixture(
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(
                         module,
                         LIMIT,
                         15_000_000,
-                        Collections.nCopies(backends, backend).toArray(Peer[]::new))) {
+                        Collections.nCopies(backends, backend).toArray(ScriptedServer[]::new))) {
             crowd(proxy, "first", backends);
-            var attempts = new ArrayList<Wire>();
+            var attempts = new ArrayList<RawConnection>();
             for (int i = 0; i < backends; i++) {
                 attempts.add(backend.accept());
             }
-            for (Wire attempt : attempts) {
+            for (RawConnection attempt : attempts) {
                 attempt.read();
-                attempt.send(Peer.ok("x"));
+                attempt.send(ScriptedServer.ok("x"));
                 proxy.next(AttemptEnded.class);
             }
             long answered = System.nanoTime();
             dispersed();
             crowd.clear();
-            Peer.until(() -> proxy.connected() == 0 && System.nanoTime() - answered > 20_000_000);
+            ScriptedServer.until(() -> proxy.connected() == 0 && System.nanoTime() - answered > 20_000_000);
             crowd(proxy.address.getPort(), requests, "");
-            Peer.until(() -> proxy.connected() == requests);
+            ScriptedServer.until(() -> proxy.connected() == requests);
             crowd(proxy, "held", 1);
             // All are read in one turn of the loop, and their connections spoilt in the middle of it.
             for (int i = 0; i < requests; i++) {
-                crowd.get(i).send(Fixture.patient("again" + i));
+                crowd.get(i).send(ProxyFixture.patient("again" + i));
             }
             read.countDown();
             proxy.next(RequestArrived.class);
-            for (Wire attempt : attempts) {
+            for (RawConnection attempt : attempts) {
                 attempt.send("not asked for");
             }
-            backend.always(Peer.ok("x"));
+            backend.always(ScriptedServer.ok("x"));
             spoilt.countDown();
             var outcomes = new ArrayList<AttemptOutcome>();
             for (int i = 0; i < requests; i++) {
@@ -151,9 +153,9 @@
     }
 
     /** Clients with a request each, all of which have arrived. */
-    private void crowd(Fixture proxy, String name, int size) throws Exception {
+    private void crowd(ProxyFixture proxy, String name, int size) throws Exception {
         for (int i = 0; i < size; i++) {
-            crowd(proxy.address.getPort(), 1, Fixture.patient(size == 1 ? name : name + i));
+            crowd(proxy.address.getPort(), 1, ProxyFixture.patient(size == 1 ? name : name + i));
             proxy.next(RequestArrived.class);
         }
     }
@@ -161,28 +163,28 @@
     /** The kernel is the witness: one descriptor too many fails, and the failure is logged. */
     @Test
     void theProcessStaysUnderItsLimit(@TempDir Path folder) throws Exception {
-        int most = LIMIT + ServeProcess.FURTHER_JARS;
-        try (var backend = new Peer();
-                var discovery = new Peer();
+        int most = LIMIT + ProxyProcess.FURTHER_JARS;
+        try (var backend = new ScriptedServer();
+                var discovery = new ScriptedServer();
                 var proxy = start(folder, config(discovery, LIMIT), most)) {
-            backend.always(Peer.ok("served"));
+            backend.always(ScriptedServer.ok("served"));
             String[] entries = IntStream.range(0, LIMIT)
-                    .mapToObj(i -> Fixture.entry("s" + i, backend.address(), "ready"))
+                    .mapToObj(i -> ProxyFixture.entry("s" + i, backend.address(), "ready"))
                     .toArray(String[]::new);
-            discovery.always(Peer.ok(Fixture.list(42, true, entries)));
+            discovery.always(ScriptedServer.ok(ProxyFixture.list(42, true, entries)));
             int port = proxy.port();
-            Peer.until(() -> answers(port, READY, 200));
-            assertThat(proxy.jars()).isEqualTo(1 + ServeProcess.FURTHER_JARS);
+            ScriptedServer.until(() -> answers(port, READY, 200));
+            assertThat(proxy.jars()).isEqualTo(1 + ProxyProcess.FURTHER_JARS);
             // Idle connections to backends first, as many as it keeps.
             var requests = new int[1];
-            Peer.until(() -> {
-                answers(port, Fixture.get("r" + requests[0]++), 200);
+            ScriptedServer.until(() -> {
+                answers(port, ProxyFixture.get("r" + requests[0]++), 200);
                 return proxy.descriptors() > most - LIMIT / 2;
             });
             for (String kind : List.of("silent", "half", "idle")) {
                 crowd(port, CROWD, opening(kind));
                 assertThat(proxy.descriptors()).isLessThanOrEqualTo(most);
-                Peer.until(() -> answers(port, Fixture.get(kind), 200));
+                ScriptedServer.until(() -> answers(port, ProxyFixture.get(kind), 200));
             }
             assertThat(proxy.logs(SHORTAGE)).isFalse();
         }
@@ -191,26 +193,26 @@
     /** The log of the failure is written by a process that can't open any file for it. */
     @Test
     void aLackOfDescriptorsDoesNotEndTheProcess(@TempDir Path folder) throws Exception {
-        try (var discovery = new Peer();
+        try (var discovery = new ScriptedServer();
                 var proxy = starved(folder, discovery)) {
             int port = proxy.port();
             crowd(port, LIMIT, "");
             proxy.awaitLog(SHORTAGE);
             dispersed();
-            Peer.until(() -> answers(port, READY, 503));
+            ScriptedServer.until(() -> answers(port, READY, 503));
         }
     }
 
     /** However the descriptors ran out, discovery is asked again once there are some. */
     @Test
     void aCallWithoutADescriptorIsMadeAgain(@TempDir Path folder) throws Exception {
-        try (var discovery = new Peer();
+        try (var discovery = new ScriptedServer();
                 var proxy = starved(folder, discovery)) {
             int port = proxy.port();
-            Wire call = discovery.accept();
+            RawConnection call = discovery.accept();
             call.read();
             crowd(port, LIMIT, "");
-            Peer.until(() -> proxy.descriptors() == LIMIT / 2);
+            ScriptedServer.until(() -> proxy.descriptors() == LIMIT / 2);
             call.close();
             proxy.awaitLog("no connection");
             dispersed();
@@ -219,15 +221,15 @@
     }
 
     /** Starts a proxy that is told of far more descriptors than it gets. */
-    private static ServeProcess starved(Path folder, Peer discovery) throws IOException {
+    private static ProxyProcess starved(Path folder, ScriptedServer discovery) throws IOException {
         return start(folder, config(discovery, 1_024), LIMIT / 2);
     }
 
-    private static ServeProcess start(Path folder, String config, int descriptors) throws IOException {
-        return ServeProcess.start(Files.writeString(folder.resolve("config.json"), config), descriptors);
+    private static ProxyProcess start(Path folder, String config, int descriptors) throws IOException {
+        return ProxyProcess.start(Files.writeString(folder.resolve("config.json"), config), descriptors);
     }
 
-    private static String config(Peer discovery, int limit) {
-        return Fixture.config(discovery.address()).replace("\"sockets\":1024", "\"sockets\":" + limit);
+    private static String config(ScriptedServer discovery, int limit) {
+        return ProxyFixture.config(discovery.address()).replace("\"sockets\":1024", "\"sockets\":" + limit);
     }
 }
--- a/src/test/java/beechfall/proxy/DiscoveryTest.java
+++ b/src/test/java/beechfall/proxy/EndpointWatcherTest.java
@@ -29,9 +29,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The watch on the list of backends, with discovery played by the test. */
-class DiscoveryTest {
+class EndpointWatcherTest {
     /** Asks to watch at its first event, and again whenever a call has failed. */
-    private static Fixture.Module watcher() {
+    private static ProxyFixture.Module watcher() {
         return (event, actions) -> {
             if (event instanceof EndpointUpdate m
                     && (m.kind() == UpdateKind.CACHED || m.kind() == UpdateKind.POLL_FAILED)) {
@@ -40,7 +40,7 @@
         };
     }
 
-    private static Wire.Message ready(Fixture proxy) throws Exception {
+    private static RawConnection.Message ready(ProxyFixture proxy) throws Exception {
         try (var client = proxy.client()) {
             return client.send("GET /ready HTTP/1.1\r\n\r\n").read();
         }
@@ -49,22 +49,23 @@
     /** Ready means that it can serve: not on the list of its last life alone, and not without a backend. */
     @Test
     void isReadyOnceDiscoveryHasSpoken() throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(watcher(), backend)) {
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(watcher(), backend)) {
             EndpointUpdate known = proxy.next(EndpointUpdate.class);
             assertThat(known.kind()).isEqualTo(UpdateKind.CACHED);
             assertThat(known.endpoints())
                     .containsExactly(new Endpoint("s0", EndpointState.READY, "m", "a", 1, 7_000, 1));
-            Wire call = proxy.discovery.accept();
+            RawConnection call = proxy.discovery.accept();
             assertThat(call.read().first()).isEqualTo("GET /v1/endpoints?from=41&hold_ms=0 HTTP/1.1");
             assertThat(ready(proxy).status()).isEqualTo(503);
-            call.send(Peer.ok(Fixture.list(41, false)));
+            call.send(ScriptedServer.ok(ProxyFixture.list(41, false)));
             // The watch goes on at once, and now it may wait: briefly, or a discovery that has vanished is not missed.
-            Wire next = proxy.discovery.accept();
+            RawConnection next = proxy.discovery.accept();
             assertThat(next.read().first()).matches("GET /v1/endpoints\\?from=41&hold_ms=1[1-5]\\d{2} HTTP/1.1");
             assertThat(ready(proxy).status()).isEqualTo(200);
-            next.send(Peer.ok(Fixture.list(43, false, Fixture.entry("s0", backend.address(), "gone"))));
-            Wire last = proxy.discovery.accept();
+            next.send(ScriptedServer.ok(
+                    ProxyFixture.list(43, false, ProxyFixture.entry("s0", backend.address(), "gone"))));
+            RawConnection last = proxy.discovery.accept();
             assertThat(last.read().first()).contains("from=43&");
             assertThat(ready(proxy).status()).isEqualTo(503);
         }
@@ -81,25 +82,25 @@
         "on_request,'rubbish'"
     })
     void isReadyByTheListThatItHadWhereDiscoveryFails(String mode, String answer) throws Exception {
-        Fixture.Module asksOnce = (event, actions) -> {
+        ProxyFixture.Module asksOnce = (event, actions) -> {
             if (event instanceof EndpointUpdate m && m.kind() == UpdateKind.CACHED) {
                 actions.accept(new WatchEndpoints(true));
             }
         };
-        try (var backend = new Peer();
-                var discovery = new Peer()) {
+        try (var backend = new ScriptedServer();
+                var discovery = new ScriptedServer()) {
             discovery.always(answer);
-            try (var proxy = new Fixture(asksOnce, c -> at(discovery, c).replace("on_request", mode), backend)) {
-                Peer.until(() -> isReady(proxy));
+            try (var proxy = new ProxyFixture(asksOnce, c -> at(discovery, c).replace("on_request", mode), backend)) {
+                ScriptedServer.until(() -> isReady(proxy));
             }
         }
     }
 
-    private static String at(Peer discovery, String config) {
+    private static String at(ScriptedServer discovery, String config) {
         return config.replaceFirst("discovery\":\"[^\"]+", "discovery\":\"" + discovery.address());
     }
 
-    private static boolean isReady(Fixture proxy) {
+    private static boolean isReady(ProxyFixture proxy) {
         try {
             return ready(proxy).status() == 200;
         } catch (Exception e) {
@@ -109,15 +110,16 @@
 
     @Test
     void tellsChangesAndWholeLists() throws Exception {
-        try (var proxy = new Fixture(watcher())) {
+        try (var proxy = new ProxyFixture(watcher())) {
             proxy.next(EndpointUpdate.class);
-            Wire call = proxy.discovery.accept();
+            RawConnection call = proxy.discovery.accept();
             call.read();
-            call.send(Peer.ok(Fixture.list(42, true, Fixture.entry("s7", "127.0.0.1:1", "ready"))));
+            call.send(ScriptedServer.ok(ProxyFixture.list(42, true, ProxyFixture.entry("s7", "127.0.0.1:1", "ready"))));
             assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.SNAPSHOT);
             call = proxy.discovery.accept();
             call.read();
-            call.send(Peer.ok(Fixture.list(43, false, Fixture.entry("s7", "127.0.0.1:1", "draining"))));
+            call.send(ScriptedServer.ok(
+                    ProxyFixture.list(43, false, ProxyFixture.entry("s7", "127.0.0.1:1", "draining"))));
             EndpointUpdate change = proxy.next(EndpointUpdate.class);
             assertThat(change.kind()).isEqualTo(UpdateKind.DELTA);
             assertThat(change.endpoints()).extracting(Endpoint::state).containsExactly(EndpointState.DRAINING);
@@ -131,15 +133,15 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void doesNotSpinOnADiscoveryThatDoesNotWait(boolean full) throws Exception {
-        String[] entries = full ? new String[] {Fixture.entry("s7", "127.0.0.1:1", "ready")} : new String[0];
-        try (var proxy = new Fixture(watcher())) {
-            Wire first = proxy.discovery.accept();
+        String[] entries = full ? new String[] {ProxyFixture.entry("s7", "127.0.0.1:1", "ready")} : new String[0];
+        try (var proxy = new ProxyFixture(watcher())) {
+            RawConnection first = proxy.discovery.accept();
             first.read();
-            first.send(Peer.ok(Fixture.list(41, false)));
-            Wire second = proxy.discovery.accept();
+            first.send(ScriptedServer.ok(ProxyFixture.list(41, false)));
+            RawConnection second = proxy.discovery.accept();
             second.read();
             long answered = System.nanoTime();
-            second.send(Peer.ok(Fixture.list(41, full, entries)));
+            second.send(ScriptedServer.ok(ProxyFixture.list(41, full, entries)));
             proxy.discovery.accept().read();
             assertThat(System.nanoTime() - answered).isGreaterThan(40_000_000);
         }
@@ -160,9 +162,9 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 39\r\n\r\n{\"version\":-1,\"full\":true,\"servers\":[]}"
             })
     void tellsOfAFailedCall(String answer) throws Exception {
-        try (var proxy = new Fixture(watcher())) {
+        try (var proxy = new ProxyFixture(watcher())) {
             proxy.next(EndpointUpdate.class);
-            try (Wire call = proxy.discovery.accept()) {
+            try (RawConnection call = proxy.discovery.accept()) {
                 call.read();
                 call.send(answer);
             }
@@ -175,9 +177,9 @@
     /** A discovery that is cut off says nothing, and TCP tells nobody: only the time does. */
     @Test
     void noticesASilentDiscovery() throws Exception {
-        try (var proxy = new Fixture(watcher())) {
+        try (var proxy = new ProxyFixture(watcher())) {
             proxy.next(EndpointUpdate.class);
-            Wire call = proxy.discovery.accept();
+            RawConnection call = proxy.discovery.accept();
             call.read();
             assertThat(call.ended()).isTrue();
             assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.POLL_FAILED);
@@ -185,7 +187,7 @@
     }
 
     /** As {@link #watcher}; a timer runs from the first list of a kind on. */
-    private static Fixture.Module watcher(UpdateKind from, long timerMs) {
+    private static ProxyFixture.Module watcher(UpdateKind from, long timerMs) {
         var set = new boolean[1];
         return (event, actions) -> {
             watcher().handle(event, actions);
@@ -203,14 +205,14 @@
      */
     @Test
     void asksAnewBeforeThatBindsWhichASilentWatchMisses() throws Exception {
-        try (var proxy = new Fixture(watcher(UpdateKind.DELTA, 4_100))) {
-            Wire first = proxy.discovery.accept();
+        try (var proxy = new ProxyFixture(watcher(UpdateKind.DELTA, 4_100))) {
+            RawConnection first = proxy.discovery.accept();
             first.read();
-            first.send(Peer.ok(Fixture.list(42, false)));
+            first.send(ScriptedServer.ok(ProxyFixture.list(42, false)));
             proxy.discovery.accept().read();
             assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
             assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.DELTA);
-            Event next = Peer.next(proxy.events);
+            Event next = ScriptedServer.next(proxy.events);
             assertThat(next).isEqualTo(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
         }
     }
@@ -221,14 +223,14 @@
     @ParameterizedTest
     @ValueSource(strings = {"", STALLED_ANSWER})
     void aCallThatDoesNotWaitFailsSoon(String answer) throws Exception {
-        try (var proxy = new Fixture(watcher(UpdateKind.POLL_FAILED, 1_700))) {
+        try (var proxy = new ProxyFixture(watcher(UpdateKind.POLL_FAILED, 1_700))) {
             proxy.discovery.accept().close();
             assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
             assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.POLL_FAILED);
-            Wire call = proxy.discovery.accept();
+            RawConnection call = proxy.discovery.accept();
             call.read();
             call.send(answer);
-            Event next = Peer.next(proxy.events);
+            Event next = ScriptedServer.next(proxy.events);
             assertThat(next).isEqualTo(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
         }
     }
@@ -236,13 +238,13 @@
     /** One that may wait, here for 15 s at least, is over soon after its answer has begun: what it told is lost else. */
     @Test
     void anAnswerThatStopsHalfWayIsNotWaitedForAsLongAsItMightHaveWaited() throws Exception {
-        try (var proxy =
-                new Fixture(watcher(UpdateKind.DELTA, 6_000), c -> c.replace("\"balancers\":2", "\"balancers\":100"))) {
-            Wire watch = proxy.list();
+        try (var proxy = new ProxyFixture(
+                watcher(UpdateKind.DELTA, 6_000), c -> c.replace("\"balancers\":2", "\"balancers\":100"))) {
+            RawConnection watch = proxy.list();
             assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
             assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.DELTA);
             watch.send(STALLED_ANSWER);
-            Event next = Peer.next(proxy.events);
+            Event next = ScriptedServer.next(proxy.events);
             assertThat(next).isEqualTo(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
         }
     }
@@ -250,15 +252,15 @@
     /** What an agent has counts as told at once: two calls that fail and their delays take 1 s, the first 0.15 s more. */
     @Test
     void anAgentIsAskedAnewInTimeThoughCallsFail() throws Exception {
-        try (var proxy = new Fixture(watcher(UpdateKind.CACHED, 3_400), c -> c.replace("on_request", "pushed"))) {
+        try (var proxy = new ProxyFixture(watcher(UpdateKind.CACHED, 3_400), c -> c.replace("on_request", "pushed"))) {
             for (int i = 0; i < 5; i++) {
                 proxy.discovery.accept().read();
             }
-            Wire call = proxy.discovery.accept();
+            RawConnection call = proxy.discovery.accept();
             call.read();
-            call.send(Peer.ok(Fixture.list(42, false)));
+            call.send(ScriptedServer.ok(ProxyFixture.list(42, false)));
             assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
-            Event next = Peer.next(proxy.events);
+            Event next = ScriptedServer.next(proxy.events);
             assertThat(next).isEqualTo(new EndpointUpdate(UpdateKind.DELTA, List.of()));
         }
     }
@@ -266,15 +268,15 @@
     /** An agent of the proxy's own machine answers at once, and costs nothing: neither its silence nor a wait is long. */
     @Test
     void anAgentIsAskedOftenAndAnewWhenItIsSilent() throws Exception {
-        try (var proxy = new Fixture(
+        try (var proxy = new ProxyFixture(
                 watcher(UpdateKind.CACHED, 2_500),
                 c -> c.replace("on_request", "pushed").replace("\"balancers\":2", "\"balancers\":100"))) {
             proxy.discovery.accept().read();
-            Wire again = proxy.discovery.accept();
+            RawConnection again = proxy.discovery.accept();
             assertThat(again.read().first()).contains("from=41&hold_ms=0");
-            again.send(Peer.ok(Fixture.list(42, false)));
+            again.send(ScriptedServer.ok(ProxyFixture.list(42, false)));
             assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
-            Event next = Peer.next(proxy.events);
+            Event next = ScriptedServer.next(proxy.events);
             assertThat(next).isEqualTo(new EndpointUpdate(UpdateKind.DELTA, List.of()));
             assertThat(proxy.discovery.accept().read().first())
                     .matches("GET /v1/endpoints\\?from=42&hold_ms=1[1-5]\\d{2} HTTP/1.1");
@@ -285,21 +287,22 @@
     @Test
     void letsNobodyInBeforeAnAgentHasSpoken() throws Exception {
         int port;
-        try (var free = new Peer()) {
+        try (var free = new ScriptedServer()) {
             port = free.port();
         }
-        try (var discovery = new Peer();
-                var backend = new Peer()) {
-            Peer.background(() -> {
-                Wire call = discovery.accept();
+        try (var discovery = new ScriptedServer();
+                var backend = new ScriptedServer()) {
+            ScriptedServer.background(() -> {
+                RawConnection call = discovery.accept();
                 call.read();
                 boolean letIn = false;
                 for (int i = 0; i < 50 && !letIn; i++) {
                     letIn = letsIn(port);
                 }
-                call.send(Peer.ok(Fixture.list(42, false, Fixture.entry("s0", backend.address(), "draining"))));
+                call.send(ScriptedServer.ok(
+                        ProxyFixture.list(42, false, ProxyFixture.entry("s0", backend.address(), "draining"))));
             });
-            try (var proxy = new Fixture(
+            try (var proxy = new ProxyFixture(
                     (event, actions) -> {},
                     c -> at(discovery, c).replace("on_request", "pushed").replace("127.0.0.1:0", "127.0.0.1:" + port),
                     backend)) {
@@ -312,7 +315,7 @@
 
     private static boolean letsIn(int port) {
         try {
-            Wire.to(new InetSocketAddress(port)).close();
+            RawConnection.to(new InetSocketAddress(port)).close();
             return true;
         } catch (IOException e) {
             trickle();
@@ -331,15 +334,17 @@
     /** After a restart versions may begin again: then changes say nothing of what this proxy has, a whole list does. */
     @Test
     void asksForTheWholeListWhereChangesDoNotFollowOnItsOwn() throws Exception {
-        try (var proxy = new Fixture(watcher())) {
-            Wire watch = proxy.list();
-            watch.send(Peer.ok(Fixture.list(7, false, Fixture.entry("s7", "127.0.0.1:1", "ready"))));
-            Wire whole = proxy.discovery.accept();
+        try (var proxy = new ProxyFixture(watcher())) {
+            RawConnection watch = proxy.list();
+            watch.send(
+                    ScriptedServer.ok(ProxyFixture.list(7, false, ProxyFixture.entry("s7", "127.0.0.1:1", "ready"))));
+            RawConnection whole = proxy.discovery.accept();
             assertThat(whole.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
-            whole.send(Peer.ok(Fixture.list(8, false, Fixture.entry("s7", "127.0.0.1:1", "ready"))));
+            whole.send(
+                    ScriptedServer.ok(ProxyFixture.list(8, false, ProxyFixture.entry("s7", "127.0.0.1:1", "ready"))));
             whole = proxy.discovery.accept();
             assertThat(whole.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
-            whole.send(Peer.ok(Fixture.list(8, true, Fixture.entry("s8", "127.0.0.1:1", "ready"))));
+            whole.send(ScriptedServer.ok(ProxyFixture.list(8, true, ProxyFixture.entry("s8", "127.0.0.1:1", "ready"))));
             assertThat(proxy.discovery.accept().read().first()).contains("?from=8&");
             assertThat(proxy.events)
                     .extracting(e -> ((EndpointUpdate) e).kind())
@@ -369,9 +374,10 @@
                 new Bootstrap().group(sockets.loop()).channelFactory(limited),
                 sockets.addresses(),
                 sockets.silent());
-        try (var discovery = new Peer()) {
-            Config config = Config.parse(Fixture.json(Fixture.config(discovery.address())));
-            var serve = new Serve(config, (now, event, actions) -> watcher().handle(event, actions), transport);
+        try (var discovery = new ScriptedServer()) {
+            ProxyConfig config = ProxyConfig.parse(ProxyFixture.json(ProxyFixture.config(discovery.address())));
+            var serve =
+                    new ProxyServer(config, (now, event, actions) -> watcher().handle(event, actions), transport);
             try {
                 serve.start();
                 assertThat(discovery.accept().read().first()).contains("?from=41&");
@@ -384,21 +390,21 @@
     /** One entry that makes no sense must not cost the others. */
     @Test
     void leavesMalformedEntriesOut() throws Exception {
-        try (var proxy = new Fixture(watcher())) {
+        try (var proxy = new ProxyFixture(watcher())) {
             proxy.next(EndpointUpdate.class);
-            Wire call = proxy.discovery.accept();
+            RawConnection call = proxy.discovery.accept();
             call.read();
-            call.send(Peer.ok(Fixture.list(
+            call.send(ScriptedServer.ok(ProxyFixture.list(
                     42,
                     true,
-                    Fixture.entry("", "127.0.0.1:1", "ready"),
+                    ProxyFixture.entry("", "127.0.0.1:1", "ready"),
                     "7",
                     "null",
                     "{}",
-                    Fixture.entry("s1", "localhost:1", "ready"),
-                    Fixture.entry("s2", "127.0.0.1:99999", "ready"),
-                    Fixture.entry("s3", "127.0.0.1:1", "asleep"),
-                    Fixture.entry("s4", "127.0.0.1:1", "ready"))));
+                    ProxyFixture.entry("s1", "localhost:1", "ready"),
+                    ProxyFixture.entry("s2", "127.0.0.1:99999", "ready"),
+                    ProxyFixture.entry("s3", "127.0.0.1:1", "asleep"),
+                    ProxyFixture.entry("s4", "127.0.0.1:1", "ready"))));
             assertThat(proxy.next(EndpointUpdate.class).endpoints())
                     .extracting(Endpoint::id)
                     .containsExactly("s4");
@@ -407,15 +413,15 @@
 
     @Test
     void fetchesTheWholeListOnce() throws Exception {
-        try (var proxy = new Fixture((Event event, java.util.function.Consumer<beechfall.Action> actions) -> {
+        try (var proxy = new ProxyFixture((Event event, java.util.function.Consumer<beechfall.Action> actions) -> {
             if (event instanceof EndpointUpdate m && m.kind() == UpdateKind.CACHED) {
                 actions.accept(new FetchEndpoints());
             }
         })) {
             proxy.next(EndpointUpdate.class);
-            Wire call = proxy.discovery.accept();
+            RawConnection call = proxy.discovery.accept();
             assertThat(call.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
-            call.send(Peer.ok(Fixture.list(42, true, Fixture.entry("s1", "127.0.0.1:1", "ready"))));
+            call.send(ScriptedServer.ok(ProxyFixture.list(42, true, ProxyFixture.entry("s1", "127.0.0.1:1", "ready"))));
             assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.SNAPSHOT);
         }
     }
@@ -423,7 +429,7 @@
     /** Two calls at once could tell old news after new: the watch goes on from the whole list, and fails with it. */
     @Test
     void aWholeListIsNeverAskedForBesideTheWatch() throws Exception {
-        try (var proxy = new Fixture((event, actions) -> {
+        try (var proxy = new ProxyFixture((event, actions) -> {
                     watcher().handle(event, actions);
                     if (event instanceof RequestArrived a) {
                         actions.accept(new FetchEndpoints());
@@ -431,15 +437,15 @@
                     }
                 });
                 var client = proxy.client()) {
-            Wire watch = proxy.list();
-            client.send(Fixture.get("r1")).read();
+            RawConnection watch = proxy.list();
+            client.send(ProxyFixture.get("r1")).read();
             assertThat(watch.ended()).isTrue();
-            try (Wire failing = proxy.discovery.accept()) {
+            try (RawConnection failing = proxy.discovery.accept()) {
                 assertThat(failing.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
             }
-            Wire whole = proxy.discovery.accept();
+            RawConnection whole = proxy.discovery.accept();
             assertThat(whole.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
-            whole.send(Peer.ok(Fixture.list(45, true)));
+            whole.send(ScriptedServer.ok(ProxyFixture.list(45, true)));
             assertThat(proxy.discovery.accept().read().first()).contains("?from=45&");
         }
     }
@@ -447,47 +453,47 @@
     /** A new configuration: the watch moves at once, asks for the whole list, and the known backends serve meanwhile. */
     @Test
     void movesToTheDiscoveryOfANewConfiguration() throws Exception {
-        try (var backend = new Peer();
-                var moved = new Peer();
-                var proxy = new Fixture(
+        try (var backend = new ScriptedServer();
+                var moved = new ScriptedServer();
+                var proxy = new ProxyFixture(
                         (event, actions) -> {
                             watcher().handle(event, actions);
-                            Fixture.sendTo("s0").handle(event, actions);
+                            ProxyFixture.sendTo("s0").handle(event, actions);
                         },
                         backend);
                 var client = proxy.client()) {
-            backend.always(Peer.ok("x"));
-            Wire old = proxy.discovery.accept();
+            backend.always(ScriptedServer.ok("x"));
+            RawConnection old = proxy.discovery.accept();
             old.read();
-            proxy.reload(Fixture.config(moved.address()));
+            proxy.reload(ProxyFixture.config(moved.address()));
             assertThat(old.ended()).isTrue();
-            Wire call = moved.accept();
+            RawConnection call = moved.accept();
             assertThat(call.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
-            assertThat(client.send(Fixture.get("r1")).read().status()).isEqualTo(200);
-            call.send(Peer.ok(Fixture.list(3, true, Fixture.entry("s7", "127.0.0.1:1", "ready"))));
+            assertThat(client.send(ProxyFixture.get("r1")).read().status()).isEqualTo(200);
+            call.send(ScriptedServer.ok(ProxyFixture.list(3, true, ProxyFixture.entry("s7", "127.0.0.1:1", "ready"))));
             assertThat(moved.accept().read().first()).contains("?from=3&");
-            assertThat(client.send(Fixture.get("r2")).read().status()).isEqualTo(502);
+            assertThat(client.send(ProxyFixture.get("r2")).read().status()).isEqualTo(502);
         }
     }
 
     @Test
     void aBadConfigurationLeavesTheWatchAlone() throws Exception {
-        try (var moved = new Peer();
-                var proxy = new Fixture(watcher())) {
-            Wire call = proxy.discovery.accept();
+        try (var moved = new ScriptedServer();
+                var proxy = new ProxyFixture(watcher())) {
+            RawConnection call = proxy.discovery.accept();
             call.read();
             proxy.reload("{\"discovery\":");
-            proxy.reload(Fixture.config("nowhere"));
-            call.send(Peer.ok(Fixture.list(42, false)));
-            Wire next = proxy.discovery.accept();
+            proxy.reload(ProxyFixture.config("nowhere"));
+            call.send(ScriptedServer.ok(ProxyFixture.list(42, false)));
+            RawConnection next = proxy.discovery.accept();
             assertThat(next.read().first()).contains("?from=42&");
             // The last of two counts, and one that names the same address again changes nothing.
-            proxy.reload(Fixture.config("127.0.0.1:1"));
-            proxy.reload(Fixture.config(moved.address()));
-            Wire last = moved.accept();
+            proxy.reload(ProxyFixture.config("127.0.0.1:1"));
+            proxy.reload(ProxyFixture.config(moved.address()));
+            RawConnection last = moved.accept();
             last.read();
-            proxy.reload(Fixture.config(moved.address()));
-            last.send(Peer.ok(Fixture.list(7, true)));
+            proxy.reload(ProxyFixture.config(moved.address()));
+            last.send(ScriptedServer.ok(ProxyFixture.list(7, true)));
             assertThat(moved.accept().read().first()).contains("?from=7&");
         }
     }
--- a/src/test/java/beechfall/proxy/FrontendTest.java
+++ b/src/test/java/beechfall/proxy/FrontendTest.java
@@ -18,17 +18,18 @@
 
 /** The clients' side on loopback sockets. */
 class FrontendTest {
-    private static final Fixture.Module SILENT = (event, actions) -> {};
+    private static final ProxyFixture.Module SILENT = (event, actions) -> {};
 
     @Test
     void passesRequestAndAnswerOnUnchanged() throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(Fixture.sendTo("s0"), backend);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
-            BlockingQueue<Wire.Message> seen = backend.always(
-                    Peer.answer("200 OK", "an\r\n\r\nswer", "Content-Type: a/b", "Connection: X-Hop", "X-Hop: 1"));
-            Wire.Message answer = client.send(Fixture.post("r1", "bo\r\n\0dy")).read();
-            Wire.Message request = Peer.next(seen);
+            BlockingQueue<RawConnection.Message> seen = backend.always(ScriptedServer.answer(
+                    "200 OK", "an\r\n\r\nswer", "Content-Type: a/b", "Connection: X-Hop", "X-Hop: 1"));
+            RawConnection.Message answer =
+                    client.send(ProxyFixture.post("r1", "bo\r\n\0dy")).read();
+            RawConnection.Message request = ScriptedServer.next(seen);
             assertThat(request.first()).isEqualTo("POST /api?k=u%201&x HTTP/1.1");
             assertThat(request.body()).isEqualTo("bo\r\n\0dy");
             assertThat(request.header("X-Request-ID")).isEqualTo("r1");
@@ -44,7 +45,7 @@
             assertThat(arrival.key()).isEqualTo("u 1");
             assertThat(arrival.retry()).isFalse();
             assertThat(arrival.timeoutUs()).isPositive().isLessThan(1_900_000);
-            assertThat(client.send(Fixture.get("r2")).read().status()).isEqualTo(200);
+            assertThat(client.send(ProxyFixture.get("r2")).read().status()).isEqualTo(200);
         }
     }
 
@@ -52,25 +53,25 @@
     @Test
     void aClientThatHasGoneBeforeItsRequestIsReadIsPassedOver() throws Exception {
         var held = new CountDownLatch(1);
-        Fixture.Module module = (event, actions) -> {
+        ProxyFixture.Module module = (event, actions) -> {
             if (event instanceof RequestArrived a && a.requestId().equals("first")) {
-                Peer.await(held);
+                ScriptedServer.await(held);
             }
             if (event instanceof RequestArrived a) {
                 actions.accept(new Reject(a.requestId(), 0));
             }
         };
-        try (var proxy = new Fixture(module);
+        try (var proxy = new ProxyFixture(module);
                 var first = proxy.client()) {
-            first.send(Fixture.get("first"));
+            first.send(ProxyFixture.get("first"));
             proxy.next(RequestArrived.class);
             for (int i = 0; i < 5; i++) {
                 try (var gone = proxy.client()) {
-                    gone.send(Fixture.get("gone" + i));
+                    gone.send(ProxyFixture.get("gone" + i));
                 }
             }
             try (var late = proxy.client()) {
-                late.send(Fixture.get("late"));
+                late.send(ProxyFixture.get("late"));
                 held.countDown();
                 assertThat(late.read().status()).isEqualTo(503);
             }
@@ -100,15 +101,18 @@
                 "GET /api?k=u1 HTTP/1.1|NONSENSE|400"
             })
     void turnsBadRequestsAway(String good, String bad, int status) throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(Fixture.sendTo("s0"), backend);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
-            assertThat(client.send(Fixture.get("r1").replace(good, bad)).read().status())
+            assertThat(client.send(ProxyFixture.get("r1").replace(good, bad))
+                            .read()
+                            .status())
                     .isEqualTo(status);
             // Kept, the connection would bring the same again as fast as it is answered.
             assertThat(client.ended()).isTrue();
-            backend.always(Peer.ok("x"));
-            assertThat(proxy.client().send(Fixture.get("good")).read().status()).isEqualTo(200);
+            backend.always(ScriptedServer.ok("x"));
+            assertThat(proxy.client().send(ProxyFixture.get("good")).read().status())
+                    .isEqualTo(200);
             assertThat(proxy.next(RequestArrived.class).requestId()).isEqualTo("good");
         }
     }
@@ -134,10 +138,10 @@
                 "nocolon"
             })
     void aRequestWhoseEndIsInDoubtIsNotPassedOn(String lengths) throws Exception {
-        try (var proxy = new Fixture(SILENT);
+        try (var proxy = new ProxyFixture(SILENT);
                 var client = proxy.client()) {
-            String head = Fixture.post("r1", "").replace("Content-Length: 0", lengths);
-            assertThat(client.send(head + "0\r\n\r\n" + Fixture.get("hidden"))
+            String head = ProxyFixture.post("r1", "").replace("Content-Length: 0", lengths);
+            assertThat(client.send(head + "0\r\n\r\n" + ProxyFixture.get("hidden"))
                             .read()
                             .status())
                     .isBetween(400, 499);
@@ -148,9 +152,9 @@
 
     @Test
     void chunksAreNoneOfHttp10() throws Exception {
-        try (var proxy = new Fixture(SILENT);
+        try (var proxy = new ProxyFixture(SILENT);
                 var client = proxy.client()) {
-            client.send(Fixture.post("r1", "")
+            client.send(ProxyFixture.post("r1", "")
                             .replace("HTTP/1.1", "HTTP/1.0")
                             .replace("Content-Length: 0", "Transfer-Encoding: chunked")
                     + "0\r\n\r\n");
@@ -163,12 +167,12 @@
     @ParameterizedTest
     @ValueSource(strings = {"", "GET /api HT", "POST /api HTTP/1.1\r\nContent-Length: 900\r\n\r\nhalf"})
     void aRequestThatDoesNotComeIsNotWaitedFor(String part) throws Exception {
-        try (var proxy = new Fixture(SILENT);
+        try (var proxy = new ProxyFixture(SILENT);
                 var client = proxy.client()) {
             long connected = System.nanoTime();
             client.send(part);
             if (!part.isEmpty()) {
-                Peer.background(() -> {
+                ScriptedServer.background(() -> {
                     for (int i = 0; i < 30; i++) {
                         trickle();
                         client.send("x");
@@ -191,7 +195,7 @@
 
     @Test
     void anIdleConnectionIsClosed() throws Exception {
-        try (var proxy = new Fixture(SILENT);
+        try (var proxy = new ProxyFixture(SILENT);
                 var client = proxy.client()) {
             assertThat(client.send("GET /ready HTTP/1.1\r\n\r\n").read().status())
                     .isEqualTo(503);
@@ -205,20 +209,20 @@
     void readsOnlyAFewRequestsAhead() throws Exception {
         int requests = 400;
         int served = 3;
-        try (var backend = new Peer();
-                var proxy = new Fixture(Fixture.sendTo("s0"), backend);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
             var all = new StringBuilder();
             for (int i = 0; i < requests; i++) {
-                all.append(Fixture.get("r" + i));
+                all.append(ProxyFixture.get("r" + i));
             }
             client.send(all.toString());
-            Wire attempt = backend.accept();
+            RawConnection attempt = backend.accept();
             attempt.read();
             // All of them have been read then.
             proxy.settle();
-            backend.always(Peer.ok("x"));
-            attempt.send(Peer.answer("200 OK", "x", "Connection: close"));
+            backend.always(ScriptedServer.ok("x"));
+            attempt.send(ScriptedServer.answer("200 OK", "x", "Connection: close"));
             for (int i = 0; i < served; i++) {
                 assertThat(client.read().status()).isEqualTo(200);
             }
@@ -232,9 +236,9 @@
     /** A client that goes on sending after its last answer is cut off: it costs neither memory nor the CPU of others. */
     @Test
     void aBodyWithoutEndIsCutOff() throws Exception {
-        try (var proxy = new Fixture(SILENT);
+        try (var proxy = new ProxyFixture(SILENT);
                 var client = proxy.client()) {
-            client.send(Fixture.post("r1", "").replace("Content-Length: 0", "Content-Length: 60000000"));
+            client.send(ProxyFixture.post("r1", "").replace("Content-Length: 0", "Content-Length: 60000000"));
             assertThat(client.read().status()).isEqualTo(413);
             String more = "x".repeat(65_536);
             long sent = 0;
@@ -253,11 +257,11 @@
 
     @Test
     void aPathThatIsNoSingleLineIsNotPassedOn() throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(Fixture.sendTo("s0"), backend)) {
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend)) {
             for (String bad : List.of("/api?k=a\rb", "/api?k=a\0b", "/api?k=a\u007fb")) {
                 try (var client = proxy.client()) {
-                    assertThat(client.send(Fixture.get("r1").replace("/api?k=u1", bad))
+                    assertThat(client.send(ProxyFixture.get("r1").replace("/api?k=u1", bad))
                                     .read()
                                     .status())
                             .isEqualTo(400);
@@ -270,20 +274,20 @@
     @Test
     void passesTheLongestBodies() throws Exception {
         String body = "0123456789abcdef".repeat(4_096);
-        try (var backend = new Peer();
-                var proxy = new Fixture(Fixture.sendTo("s0"), backend);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
-            BlockingQueue<Wire.Message> seen = backend.always(Peer.ok(body));
-            assertThat(client.send(Fixture.post("r1", body)).read().body()).isEqualTo(body);
-            assertThat(Peer.next(seen).body()).isEqualTo(body);
+            BlockingQueue<RawConnection.Message> seen = backend.always(ScriptedServer.ok(body));
+            assertThat(client.send(ProxyFixture.post("r1", body)).read().body()).isEqualTo(body);
+            assertThat(ScriptedServer.next(seen).body()).isEqualTo(body);
         }
     }
 
     @Test
     void aKeyedRequestNeedsItsKey() throws Exception {
-        try (var proxy = new Fixture(SILENT);
+        try (var proxy = new ProxyFixture(SILENT);
                 var client = proxy.client()) {
-            assertThat(client.send(Fixture.post("r1", "x").replace("Idempotency-Key", "X-Other"))
+            assertThat(client.send(ProxyFixture.post("r1", "x").replace("Idempotency-Key", "X-Other"))
                             .read()
                             .status())
                     .isEqualTo(400);
@@ -293,9 +297,9 @@
     /** The client must read why it was turned away, even while it is still sending: no reset may overtake the answer. */
     @Test
     void aBodyTooLongIsToldSo() throws Exception {
-        try (var proxy = new Fixture(SILENT);
+        try (var proxy = new ProxyFixture(SILENT);
                 var client = proxy.client()) {
-            client.send(Fixture.post("r1", "x".repeat(70_000)));
+            client.send(ProxyFixture.post("r1", "x".repeat(70_000)));
             assertThat(client.read().status()).isEqualTo(413);
             assertThat(client.ended()).isTrue();
         }
@@ -305,17 +309,17 @@
     @Test
     void patienceRunsOnWhileTheProxyIsHeldUp() throws Exception {
         var goOn = new CountDownLatch(1);
-        try (var proxy = new Fixture((event, actions) -> {
+        try (var proxy = new ProxyFixture((event, actions) -> {
                     if (event instanceof RequestArrived a && a.requestId().equals("r1")) {
-                        Peer.await(goOn);
+                        ScriptedServer.await(goOn);
                     }
                 });
                 var one = proxy.client();
                 var two = proxy.client()) {
             two.send("GET /ready HTTP/1.1\r\n\r\n").read();
-            one.send(Fixture.get("r1"));
+            one.send(ProxyFixture.get("r1"));
             proxy.next(RequestArrived.class);
-            two.send(Fixture.get("r2"));
+            two.send(ProxyFixture.get("r2"));
             long sent = System.nanoTime();
             while (System.nanoTime() - sent < 400_000_000) {
                 Thread.sleep(10);
@@ -328,13 +332,13 @@
     /** What comes behind a request that is being served must neither overtake its answer nor cost it. */
     @Test
     void rubbishBehindARequestIsAnsweredAfterIt() throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(Fixture.sendTo("s0"), backend);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
-            client.send(Fixture.get("r1") + "RUBBISH\r\n\r\n" + Fixture.get("r2"));
-            Wire attempt = backend.accept();
+            client.send(ProxyFixture.get("r1") + "RUBBISH\r\n\r\n" + ProxyFixture.get("r2"));
+            RawConnection attempt = backend.accept();
             attempt.read();
-            attempt.send(Peer.ok("x"));
+            attempt.send(ScriptedServer.ok("x"));
             assertThat(client.read().body()).isEqualTo("x");
             assertThat(client.read().status()).isEqualTo(400);
             assertThat(client.ended()).isTrue();
@@ -345,9 +349,10 @@
     @Test
     @Timeout(30)
     void whatComesBehindABadRequestIsAnsweredToo() throws Exception {
-        try (var proxy = new Fixture(SILENT);
+        try (var proxy = new ProxyFixture(SILENT);
                 var client = proxy.client()) {
-            client.send(Fixture.get("r1").replace("acme", "nobody") + Fixture.get("r2") + Fixture.get("r3"));
+            client.send(
+                    ProxyFixture.get("r1").replace("acme", "nobody") + ProxyFixture.get("r2") + ProxyFixture.get("r3"));
             assertThat(client.read().status()).isEqualTo(400);
             assertThat(client.read().status()).isEqualTo(429);
             assertThat(client.read().status()).isEqualTo(429);
@@ -360,13 +365,13 @@
     @Test
     @Timeout(30)
     void anExpectationThatIsNotMetIsAnsweredInItsTurn() throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(Fixture.sendTo("s0"), backend);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
-            Wire attempt = backend.attemptFor(client, "r1");
-            client.send(Fixture.post("r2", "x").replace("Host:", "Expect: a-miracle\r\nHost:"));
+            RawConnection attempt = backend.attemptFor(client, "r1");
+            client.send(ProxyFixture.post("r2", "x").replace("Host:", "Expect: a-miracle\r\nHost:"));
             proxy.settle();
-            attempt.send(Peer.ok("x"));
+            attempt.send(ScriptedServer.ok("x"));
             assertThat(client.read().body()).isEqualTo("x");
             assertThat(client.read().status()).isEqualTo(417);
             assertThat(client.ended()).isTrue();
@@ -375,9 +380,9 @@
 
     @Test
     void tellsTheModuleThatAClientIsGone() throws Exception {
-        try (var proxy = new Fixture(SILENT)) {
+        try (var proxy = new ProxyFixture(SILENT)) {
             try (var client = proxy.client()) {
-                client.send(Fixture.get("r1"));
+                client.send(ProxyFixture.get("r1"));
                 assertThat(proxy.next(RequestArrived.class).requestId()).isEqualTo("r1");
             }
             assertThat(proxy.next(ClientDisconnected.class).requestId()).isEqualTo("r1");
@@ -386,16 +391,16 @@
 
     @Test
     void aRefusalTellsWhenToComeBack() throws Exception {
-        try (var proxy = new Fixture((event, actions) -> {
+        try (var proxy = new ProxyFixture((event, actions) -> {
                     if (event instanceof RequestArrived a) {
                         actions.accept(new Reject(a.requestId(), a.requestId().equals("r1") ? 250_000 : 0));
                     }
                 });
                 var client = proxy.client()) {
-            Wire.Message answer = client.send(Fixture.get("r1")).read();
+            RawConnection.Message answer = client.send(ProxyFixture.get("r1")).read();
             assertThat(answer.status()).isEqualTo(503);
             assertThat(answer.header("Retry-After")).isEqualTo("0.250");
-            answer = client.send(Fixture.get("r2")).read();
+            answer = client.send(ProxyFixture.get("r2")).read();
             assertThat(answer.status()).isEqualTo(503);
             assertThat(answer.header("Retry-After")).isNull();
         }
@@ -404,14 +409,14 @@
     /** One answer for each request, in their order, also where a client sends ahead; and only the first answer counts. */
     @Test
     void answersInOrderAndOnce() throws Exception {
-        try (var proxy = new Fixture((event, actions) -> {
+        try (var proxy = new ProxyFixture((event, actions) -> {
                     if (event instanceof RequestArrived a) {
                         actions.accept(new Reject(a.requestId(), 0));
                         actions.accept(new Fail(a.requestId()));
                     }
                 });
                 var client = proxy.client()) {
-            client.send(Fixture.get("r1") + "GET /ready HTTP/1.1\r\n\r\n" + Fixture.get("r3"));
+            client.send(ProxyFixture.get("r1") + "GET /ready HTTP/1.1\r\n\r\n" + ProxyFixture.get("r3"));
             assertThat(client.read().body()).startsWith("not now");
             assertThat(client.read().body()).startsWith("not ready");
             assertThat(client.read().body()).startsWith("not now");
@@ -420,20 +425,20 @@
 
     @Test
     void anIdThatIsBeingServedIsNotTakenTwice() throws Exception {
-        try (var proxy = new Fixture(SILENT);
+        try (var proxy = new ProxyFixture(SILENT);
                 var one = proxy.client();
                 var two = proxy.client()) {
-            one.send(Fixture.get("r1"));
+            one.send(ProxyFixture.get("r1"));
             proxy.next(RequestArrived.class);
-            assertThat(two.send(Fixture.get("r1")).read().status()).isEqualTo(409);
+            assertThat(two.send(ProxyFixture.get("r1")).read().status()).isEqualTo(409);
         }
     }
 
     @Test
     void closesWhereTheClientAsksForIt() throws Exception {
-        try (var proxy = new Fixture(SILENT);
+        try (var proxy = new ProxyFixture(SILENT);
                 var client = proxy.client()) {
-            Wire.Message answer = client.send("GET /other HTTP/1.1\r\nConnection: close\r\n\r\n")
+            RawConnection.Message answer = client.send("GET /other HTTP/1.1\r\nConnection: close\r\n\r\n")
                     .read();
             assertThat(answer.status()).isEqualTo(404);
             assertThat(answer.header("Connection")).isEqualTo("close");
--- a/src/test/java/beechfall/proxy/FullBacklog.java
+++ b/src/test/java/beechfall/proxy/FullBacklog.java
@@ -32,12 +32,12 @@
     }
 
     /** Makes room, and returns the connection of whoever has waited: it comes up as its SYN is sent again. */
-    Wire admit() throws IOException {
+    RawConnection admit() throws IOException {
         server.setSoTimeout(10_000);
         for (int i = 0; i < crowd.size(); i++) {
             server.accept().close();
         }
-        return new Wire(server.accept());
+        return new RawConnection(server.accept());
     }
 
     @Override
--- a/src/test/java/beechfall/proxy/JsonTest.java
+++ b/src/test/java/beechfall/proxy/JsonTreesTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The mapper tells what a document means; the reader differs from it in what it costs alone. */
-class JsonTest {
+class JsonTreesTest {
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -27,20 +27,20 @@
             })
     void readsWhatTheMapperReads(String text) throws Exception {
         // As text: an int and a long of the same value are different nodes.
-        assertThat(Fixture.json(text).toString())
+        assertThat(ProxyFixture.json(text).toString())
                 .isEqualTo(new ObjectMapper().readTree(text).toString());
-        assertThat(Fixture.json(text).getNodeType())
+        assertThat(ProxyFixture.json(text).getNodeType())
                 .isEqualTo(new ObjectMapper().readTree(text).getNodeType());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"{", "[1", "{\"a\"}", "{\"a\":}", "]", "}", "nul", "[1,]", "{\"a\":1", "not JSON"})
     void refusesWhatIsBroken(String text) {
-        assertThatThrownBy(() -> Fixture.json(text)).isInstanceOf(JsonProcessingException.class);
+        assertThatThrownBy(() -> ProxyFixture.json(text)).isInstanceOf(JsonProcessingException.class);
     }
 
     @Test
     void nestsOnlySoDeep() {
-        assertThatThrownBy(() -> Fixture.json("[".repeat(100_000))).isInstanceOf(JsonProcessingException.class);
+        assertThatThrownBy(() -> ProxyFixture.json("[".repeat(100_000))).isInstanceOf(JsonProcessingException.class);
     }
 }
--- a/src/test/java/beechfall/proxy/IdleLimitTest.java
+++ b/src/test/java/beechfall/proxy/LearnedIdleLimitTest.java
@@ -5,10 +5,10 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-class IdleLimitTest {
+class LearnedIdleLimitTest {
     private static final long MS = 1_000;
 
-    private final IdleLimit limit = new IdleLimit();
+    private final LearnedIdleLimit limit = new LearnedIdleLimit();
     private final Random random = new Random(1);
 
     private void send(int times, long idleUs, double resets) {
