--- a/src/test/java/beechfall/proxy/ConfigTest.java
+++ b/src/test/java/beechfall/proxy/ProxyConfigTest.java
@@ -15,10 +15,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The configuration: what it says, and one plain line on what is wrong with it. */
-class ConfigTest {
+class ProxyConfigTest {
     @Test
     void readsTheSettings() throws Exception {
-        Config config = Config.parse(Fixture.config());
+        ProxyConfig config = ProxyConfig.parse(ProxyFixture.config());
         assertThat(config.settings().seed()).isEqualTo(0x92094eb940cf389aL);
         assertThat(config.settings().limits().endpointsArePolled()).isTrue();
         assertThat(config.settings().requestClasses())
@@ -26,17 +26,17 @@
                 .containsExactly(Idempotency.IDEMPOTENT, Idempotency.IDEMPOTENT_WITH_KEY, Idempotency.NOT_IDEMPOTENT);
         assertThat(config.settings().tenants()).containsExactly(new Tenant("acme", 100));
         assertThat(config.connIdleUs()).isEqualTo(15_000_000);
-        assertThat(config.known().path("version").asLong()).isEqualTo(41);
+        assertThat(config.cachedEndpoints().path("version").asLong()).isEqualTo(41);
     }
 
     @Test
     void aListThatHasChangedTellsARestartFromAFirstStart() throws Exception {
-        ObjectNode json = Fixture.config();
-        assertThat(Config.parse(json).isFirstStart()).isFalse();
+        ObjectNode json = ProxyFixture.config();
+        assertThat(ProxyConfig.parse(json).isFirstStart()).isFalse();
         ((ObjectNode) json.get("known")).put("version", 0);
-        assertThat(Config.parse(json).isFirstStart()).isTrue();
+        assertThat(ProxyConfig.parse(json).isFirstStart()).isTrue();
         json.remove("known");
-        assertThat(Config.parse(json).isFirstStart()).isTrue();
+        assertThat(ProxyConfig.parse(json).isFirstStart()).isTrue();
     }
 
     @ParameterizedTest
@@ -51,31 +51,32 @@
                 "settings|'x'|'settings': an object is wanted"
             })
     void namesTheFieldThatIsWrong(String field, String value, String message) throws Exception {
-        assertThatThrownBy(() -> Config.parse(Fixture.config().put(field, value)))
-                .isInstanceOf(Config.BadConfig.class)
+        assertThatThrownBy(() -> ProxyConfig.parse(ProxyFixture.config().put(field, value)))
+                .isInstanceOf(ProxyConfig.InvalidConfigException.class)
                 .hasMessage(message);
     }
 
     @Test
     void namesTheSettingThatIsWrong() throws Exception {
-        ObjectNode missing = Fixture.config();
+        ObjectNode missing = ProxyFixture.config();
         ((ObjectNode) missing.path("settings").path("bounds")).remove("conn_idle_us");
-        assertThatThrownBy(() -> Config.parse(missing)).hasMessage("'settings': missing setting 'bounds.conn_idle_us'");
-        ObjectNode wrong = Fixture.config();
+        assertThatThrownBy(() -> ProxyConfig.parse(missing))
+                .hasMessage("'settings': missing setting 'bounds.conn_idle_us'");
+        ObjectNode wrong = ProxyFixture.config();
         ((ObjectNode) wrong.path("settings").path("profiles").get(1)).put("effect", "sometimes");
-        assertThatThrownBy(() -> Config.parse(wrong))
+        assertThatThrownBy(() -> ProxyConfig.parse(wrong))
                 .hasMessage("'settings': unknown value 'sometimes' in setting 'profiles.1.effect'");
     }
 
     @Test
     void saysWhereAFileIsNoConfiguration(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("config.json");
-        assertThatThrownBy(() -> Config.read(file))
-                .isInstanceOf(Config.BadConfig.class)
+        assertThatThrownBy(() -> ProxyConfig.read(file))
+                .isInstanceOf(ProxyConfig.InvalidConfigException.class)
                 .hasMessageStartingWith("cannot be read");
         Files.writeString(file, "{");
-        assertThatThrownBy(() -> Config.read(file))
-                .isInstanceOf(Config.BadConfig.class)
+        assertThatThrownBy(() -> ProxyConfig.read(file))
+                .isInstanceOf(ProxyConfig.InvalidConfigException.class)
                 .hasMessageStartingWith("not JSON");
     }
 }
--- a/src/test/java/beechfall/proxy/Fixture.java
+++ b/src/test/java/beechfall/proxy/ProxyFixture.java
@@ -21,7 +21,7 @@
 import java.util.function.UnaryOperator;
 
 /** A proxy on loopback, with a module that does as the test says and keeps what it was told. */
-final class Fixture implements Closeable {
+final class ProxyFixture implements Closeable {
     private static final String CONFIG = """
             {"name":"n0","listen":"127.0.0.1:0","discovery":"%s","seed":"92094eb940cf389a",
              "limits":{"cores":1.0,"memory_mb":192,"sockets":%d},
@@ -42,8 +42,8 @@
 
     final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
     final BlockingQueue<Action.StartAttempt> sends = new LinkedBlockingQueue<>();
-    final Peer discovery = new Peer();
-    private final Serve serve;
+    final ScriptedServer discovery = new ScriptedServer();
+    private final ProxyServer serve;
     final InetSocketAddress address;
 
     /** Settings under which nothing that a test waits for runs out of time: only what it does itself brings an end. */
@@ -56,47 +56,48 @@
         void handle(Event event, Consumer<Action> actions);
     }
 
-    Fixture(Module module, Peer... backends) throws Exception {
+    ProxyFixture(Module module, ScriptedServer... backends) throws Exception {
         this(module, 1_024, 15_000_000, backends);
     }
 
-    Fixture(Module module, int sockets, long idleUs, Peer... backends) throws Exception {
+    ProxyFixture(Module module, int sockets, long idleUs, ScriptedServer... backends) throws Exception {
         this(settings -> (now, event, actions) -> module.handle(event, actions), sockets, idleUs, c -> c, backends);
     }
 
     /** A proxy whose configuration is another; see {@link #PATIENT}. */
-    Fixture(Module module, UnaryOperator<String> edit, Peer... backends) throws Exception {
+    ProxyFixture(Module module, UnaryOperator<String> edit, ScriptedServer... backends) throws Exception {
         this(settings -> (now, event, actions) -> module.handle(event, actions), 1_024, 15_000_000, edit, backends);
     }
 
     /** A proxy with the module that it has in service. */
-    static Fixture inService(Peer... backends) throws Exception {
+    static ProxyFixture inService(ScriptedServer... backends) throws Exception {
         return inService(c -> c, backends);
     }
 
-    static Fixture inService(UnaryOperator<String> edit, Peer... backends) throws Exception {
-        return new Fixture(EarliestDeadlineLoadBalancer::new, 1_024, 15_000_000, edit, backends);
+    static ProxyFixture inService(UnaryOperator<String> edit, ScriptedServer... backends) throws Exception {
+        return new ProxyFixture(EarliestDeadlineLoadBalancer::new, 1_024, 15_000_000, edit, backends);
     }
 
     /** A proxy with the module that it has in service, under a limit of descriptors. */
-    static Fixture inService(int sockets, Peer... backends) throws Exception {
-        return new Fixture(EarliestDeadlineLoadBalancer::new, sockets, 15_000_000, c -> c, backends);
+    static ProxyFixture inService(int sockets, ScriptedServer... backends) throws Exception {
+        return new ProxyFixture(EarliestDeadlineLoadBalancer::new, sockets, 15_000_000, c -> c, backends);
     }
 
-    private Fixture(
+    private ProxyFixture(
             Function<BalancerSettings, LoadBalancer> factory,
             int sockets,
             long idleUs,
             UnaryOperator<String> edit,
-            Peer... backends)
+            ScriptedServer... backends)
             throws Exception {
         var servers = new StringBuilder();
         for (int i = 0; i < backends.length; i++) {
             servers.append(i == 0 ? "" : ",").append(entry("s" + i, backends[i].address(), "ready"));
         }
-        Config config = Config.parse(json(edit.apply(CONFIG.formatted(discovery.address(), sockets, servers, idleUs))));
+        ProxyConfig config =
+                ProxyConfig.parse(json(edit.apply(CONFIG.formatted(discovery.address(), sockets, servers, idleUs))));
         LoadBalancer module = factory.apply(config.settings());
-        serve = new Serve(config, (now, event, actions) -> {
+        serve = new ProxyServer(config, (now, event, actions) -> {
             events.add(event);
             module.handle(now, event, action -> {
                 if (action instanceof Action.StartAttempt send) {
@@ -109,7 +110,7 @@
     }
 
     static JsonNode json(String text) throws IOException {
-        return Json.read(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)));
+        return JsonTrees.read(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)));
     }
 
     static ObjectNode config() throws IOException {
@@ -168,11 +169,11 @@
     }
 
     /** Answers the first call of the watch with a change, and waits for the next. */
-    Wire list(String... entries) throws IOException {
-        Wire watch = discovery.accept();
+    RawConnection list(String... entries) throws IOException {
+        RawConnection watch = discovery.accept();
         watch.read();
-        watch.send(Peer.ok(list(42, false, entries)));
-        Wire next = discovery.accept();
+        watch.send(ScriptedServer.ok(list(42, false, entries)));
+        RawConnection next = discovery.accept();
         next.read();
         return next;
     }
@@ -194,13 +195,13 @@
                 + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    Wire client() throws IOException {
-        return Wire.to(address);
+    RawConnection client() throws IOException {
+        return RawConnection.to(address);
     }
 
     /** Waits until the proxy has handled all that came to it before. */
     void settle() throws IOException {
-        try (Wire asker = client()) {
+        try (RawConnection asker = client()) {
             asker.send("GET /ready HTTP/1.1\r\n\r\n").read();
         }
     }
@@ -208,7 +209,7 @@
     /** Waits for the next event of a type. */
     <T extends Event> T next(Class<T> type) throws InterruptedException {
         while (true) {
-            Event event = Peer.next(events);
+            Event event = ScriptedServer.next(events);
             if (type.isInstance(event)) {
                 return type.cast(event);
             }
--- a/src/test/java/beechfall/proxy/ServeProcess.java
+++ b/src/test/java/beechfall/proxy/ProxyProcess.java
@@ -15,7 +15,7 @@
 import java.util.stream.Stream;
 
 /** The program as the {@code run} command of {@code deploy/balancer.toml} starts it, with the classes under test. */
-final class ServeProcess implements Closeable {
+final class ProxyProcess implements Closeable {
     private static final String LISTENING = "listening on ";
     private static final String CLASS_PATH = classPath();
     /** In service all classes are in one jar; here each jar of the class path takes a descriptor. */
@@ -24,9 +24,9 @@
     private final Process process;
     private final List<String> log = new CopyOnWriteArrayList<>();
 
-    private ServeProcess(Process process) {
+    private ProxyProcess(Process process) {
         this.process = process;
-        Peer.background(this::keepLog);
+        ScriptedServer.background(this::keepLog);
     }
 
     /**
@@ -34,7 +34,7 @@
      *
      * @param shell runs first, in the shell that becomes the program
      */
-    static ServeProcess start(Path config, String shell) throws IOException {
+    static ProxyProcess start(Path config, String shell) throws IOException {
         String run = Files.readAllLines(Path.of("deploy", "balancer.toml")).stream()
                 .filter(line -> line.startsWith("run = "))
                 .findFirst()
@@ -46,11 +46,11 @@
                 .redirectErrorStream(true);
         command.environment().put("TEST_CLASS_PATH", CLASS_PATH);
         command.environment().put("PROXY_CONFIG", config.toString());
-        return new ServeProcess(command.start());
+        return new ProxyProcess(command.start());
     }
 
     /** Starts the program with a limit of descriptors that the kernel enforces. */
-    static ServeProcess start(Path config, int descriptors) throws IOException {
+    static ProxyProcess start(Path config, int descriptors) throws IOException {
         return start(config, "ulimit -n " + descriptors + "; ");
     }
 
@@ -64,7 +64,7 @@
 
     /** Waits until a line of the log holds a text. */
     void awaitLog(String text) throws InterruptedException {
-        Peer.until(() -> logs(text));
+        ScriptedServer.until(() -> logs(text));
     }
 
     /** Returns whether a line of the log holds a text. */
@@ -92,7 +92,7 @@
     /** Returns the number of jars that it holds open. */
     long jars() throws IOException {
         try (Stream<Path> open = Files.list(Path.of("/proc/" + process.pid() + "/fd"))) {
-            return jars(open.map(ServeProcess::target));
+            return jars(open.map(ProxyProcess::target));
         }
     }
 
@@ -104,7 +104,7 @@
     }
 
     int awaitExit() throws InterruptedException {
-        Peer.until(() -> !process.isAlive());
+        ScriptedServer.until(() -> !process.isAlive());
         return process.exitValue();
     }
 
--- a/src/test/java/beechfall/proxy/ServeTest.java
+++ b/src/test/java/beechfall/proxy/ProxyServerTest.java
@@ -17,32 +17,32 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** A planned restart, and the limit on sockets. */
-class ServeTest {
+class ProxyServerTest {
     /** Asked of a proxy that is not ready; the answer keeps the connection. */
     private static final String READY = "GET /ready HTTP/1.1\r\n\r\n";
 
-    private static final String LONGEST_BODY = "x".repeat(Backends.MAX_BODY);
+    private static final String LONGEST_BODY = "x".repeat(UpstreamClient.MAX_BODY);
     /** So many answers with such a body are more than the kernel holds for both sides. */
     private static final int MORE_THAN_THE_KERNEL_HOLDS = 150;
 
     /** All of it together, with the module that is in service: it watches, serves, tries elsewhere, and refuses. */
     @Test
     void servesWithTheModule() throws Exception {
-        var dead = new Peer();
+        var dead = new ScriptedServer();
         dead.close();
-        try (var backend = new Peer();
-                var proxy = Fixture.inService(dead, backend);
+        try (var backend = new ScriptedServer();
+                var proxy = ProxyFixture.inService(dead, backend);
                 var client = proxy.client()) {
-            backend.always(Peer.ok("served"));
-            Wire call = proxy.discovery.accept();
+            backend.always(ScriptedServer.ok("served"));
+            RawConnection call = proxy.discovery.accept();
             assertThat(call.read().first()).contains("from=41&hold_ms=0");
             for (int i = 0; i < 10; i++) {
-                assertThat(client.send(Fixture.post("r" + i, "pay")).read().body())
+                assertThat(client.send(ProxyFixture.post("r" + i, "pay")).read().body())
                         .isEqualTo("served");
             }
-            call.send(Peer.ok(Fixture.list(42, true)));
+            call.send(ScriptedServer.ok(ProxyFixture.list(42, true)));
             proxy.discovery.accept().read();
-            Wire.Message answer = client.send(Fixture.get("none")).read();
+            RawConnection.Message answer = client.send(ProxyFixture.get("none")).read();
             assertThat(answer.status()).isEqualTo(503);
             assertThat(answer.header("Retry-After")).matches("[01]\\.[0-9]{3}");
         }
@@ -51,8 +51,8 @@
     /** Told to end while it waits for its agent: it lets nobody in, and that is no fault of its configuration. */
     @Test
     void doesNotListenOnceItIsToldToEnd() throws Exception {
-        Config config = Config.parse(Fixture.config());
-        var serve = new Serve(config);
+        ProxyConfig config = ProxyConfig.parse(ProxyFixture.config());
+        var serve = new ProxyServer(config);
         try {
             serve.drain();
             assertThat(serve.start()).isEmpty();
@@ -64,30 +64,31 @@
     /** A restart where the list has never changed is warmed up like a first start, and has to be ready all the same. */
     @Test
     void theWarmUpLeavesTimeForAllElseBeforeAProcessIsReady() {
-        long readyMs = Serve.RUNTIME_START_MS + Serve.WARMUP_LIMIT_MS + Discovery.FIRST_SERVICE_TIMEOUT_MS;
+        long readyMs =
+                ProxyServer.RUNTIME_START_MS + ProxyServer.WARMUP_LIMIT_MS + EndpointWatcher.FIRST_SERVICE_TIMEOUT_MS;
         assertThat(readyMs).isLessThanOrEqualTo(6_000);
-        assertThat(Serve.WARMUP_LIMIT_MS).isPositive();
+        assertThat(ProxyServer.WARMUP_LIMIT_MS).isPositive();
     }
 
     /** Rule 1 at a restart: what is taken is answered, new clients are served while the front still sends them. */
     @Test
     void answersAllThatItHasTakenBeforeItEnds() throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(Fixture.sendTo("s0"), backend);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var busy = proxy.client();
                 var idle = proxy.client();
                 var used = proxy.client()) {
-            busy.send(Fixture.get("r1"));
-            Wire slow = backend.accept();
+            busy.send(ProxyFixture.get("r1"));
+            RawConnection slow = backend.accept();
             slow.read();
             idle.send(READY).read();
             used.send(READY).read();
             CompletableFuture<Void> drained = CompletableFuture.runAsync(proxy::drain);
             try (var late = proxy.client()) {
-                late.send(Fixture.get("r2"));
-                Wire attempt = backend.accept();
+                late.send(ProxyFixture.get("r2"));
+                RawConnection attempt = backend.accept();
                 attempt.read();
-                attempt.send(Peer.ok("late"));
+                attempt.send(ScriptedServer.ok("late"));
                 assertThat(late.read().body()).isEqualTo("late");
             }
             // Clients that are here keep their connections when no others are let in: elsewhere may be worse.
@@ -96,9 +97,9 @@
             }
             assertThat(used.send(READY).read().header("Connection")).isNull();
             assertThat(drained).isNotDone();
-            slow.send(Peer.ok("slow"));
+            slow.send(ScriptedServer.ok("slow"));
             assertThat(busy.read().body()).isEqualTo("slow");
-            Wire.Message answer = used.send(READY).read();
+            RawConnection.Message answer = used.send(READY).read();
             while (answer.header("Connection") == null) {
                 answer = used.send(READY).read();
             }
@@ -113,10 +114,10 @@
     /** The end comes for whoever is left, too: nothing that was taken goes without an answer. */
     @Test
     void failsWhatIsStillOpenWhenItHasToEnd() throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(Fixture.sendTo("s0"), backend);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
-            client.send(Fixture.patient("r1"));
+            client.send(ProxyFixture.patient("r1"));
             backend.accept().read();
             CompletableFuture<Void> drained = CompletableFuture.runAsync(proxy::drain);
             assertThat(client.read().status()).isEqualTo(502);
@@ -127,10 +128,10 @@
     /** What a client has sent ahead begins only when all else has been failed: it is owed an answer as well. */
     @Test
     void answersWhatBeginsWhenItHasToEnd() throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(Fixture.sendTo("s0"), backend);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
-            client.send(Fixture.patient("r1") + Fixture.patient("r2"));
+            client.send(ProxyFixture.patient("r1") + ProxyFixture.patient("r2"));
             backend.accept().read();
             CompletableFuture<Void> drained = CompletableFuture.runAsync(proxy::drain);
             assertThat(client.read().status()).isEqualTo(502);
@@ -144,32 +145,32 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void finishesTheAnswersThatClientsAreSlowToRead(boolean crowd) throws Exception {
-        var clients = new ArrayList<Wire>();
-        try (var backend = new Peer();
-                var proxy = new Fixture(
+        var clients = new ArrayList<RawConnection>();
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(
                         (event, actions) -> {
                             if (!(event instanceof RequestArrived a)
                                     || !a.requestId().startsWith("held")) {
-                                Fixture.sendTo("s0").handle(event, actions);
+                                ProxyFixture.sendTo("s0").handle(event, actions);
                             }
                         },
                         128,
                         15_000_000,
                         backend);
                 var slow = proxy.client()) {
-            backend.always(Peer.ok(LONGEST_BODY));
+            backend.always(ScriptedServer.ok(LONGEST_BODY));
             leaveUnread(proxy, slow, MORE_THAN_THE_KERNEL_HOLDS);
             CompletableFuture<Void> drained = CompletableFuture.completedFuture(null);
             if (crowd) {
                 // All of them hold a request: the one that holds none is to make room.
                 for (int i = 0; i < DescriptorBudget.of(128).clients(); i++) {
-                    Wire client = proxy.client();
+                    RawConnection client = proxy.client();
                     clients.add(client);
-                    client.send(Fixture.get("held" + i));
+                    client.send(ProxyFixture.get("held" + i));
                     proxy.next(RequestArrived.class);
                 }
             } else {
-                Wire idle = proxy.client();
+                RawConnection idle = proxy.client();
                 clients.add(idle);
                 idle.send(READY).read();
                 drained = CompletableFuture.runAsync(proxy::drain);
@@ -178,7 +179,7 @@
             readAll(slow, MORE_THAN_THE_KERNEL_HOLDS);
             drained.get(10, TimeUnit.SECONDS);
         } finally {
-            for (Wire client : clients) {
+            for (RawConnection client : clients) {
                 client.close();
             }
         }
@@ -188,14 +189,14 @@
     @Test
     @Timeout(30)
     void nothingBeginsBehindALastAnswer() throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(Fixture.sendTo("s0"), backend);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var slow = proxy.client()) {
-            backend.always(Peer.ok(LONGEST_BODY));
+            backend.always(ScriptedServer.ok(LONGEST_BODY));
             leaveUnread(proxy, slow, MORE_THAN_THE_KERNEL_HOLDS - 1);
-            slow.send(Fixture.get("last").replace("Host:", "Connection: close\r\nHost:"));
+            slow.send(ProxyFixture.get("last").replace("Host:", "Connection: close\r\nHost:"));
             proxy.next(AttemptEnded.class);
-            slow.send(Fixture.get("behind"));
+            slow.send(ProxyFixture.get("behind"));
             proxy.settle();
             assertThat(proxy.events).noneMatch(RequestArrived.class::isInstance);
             readAll(slow, MORE_THAN_THE_KERNEL_HOLDS);
@@ -207,16 +208,16 @@
     @Test
     @Timeout(30)
     void nothingBeginsOnAConnectionThatADrainCloses() throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(Fixture.sendTo("s0"), backend);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var slow = proxy.client();
                 var idle = proxy.client()) {
-            backend.always(Peer.ok(LONGEST_BODY));
+            backend.always(ScriptedServer.ok(LONGEST_BODY));
             leaveUnread(proxy, slow, MORE_THAN_THE_KERNEL_HOLDS);
             idle.send(READY).read();
             CompletableFuture<Void> drained = CompletableFuture.runAsync(proxy::drain);
             assertThat(idle.ended()).isTrue();
-            slow.send(Fixture.get("behind"));
+            slow.send(ProxyFixture.get("behind"));
             readAll(slow, MORE_THAN_THE_KERNEL_HOLDS);
             assertThat(slow.ended()).isTrue();
             drained.get(10, TimeUnit.SECONDS);
@@ -231,24 +232,24 @@
         // More than the client's side of the kernel takes unread, less than both sides hold.
         int answers = 8;
         var goOn = new CountDownLatch(1);
-        try (var backend = new Peer();
-                var proxy = new Fixture(
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(
                         (event, actions) -> {
                             if (event instanceof RequestArrived a
                                     && a.requestId().equals("last")) {
-                                Peer.await(goOn);
+                                ScriptedServer.await(goOn);
                                 actions.accept(new Reject(a.requestId(), 0));
                             } else {
-                                Fixture.sendTo("s0").handle(event, actions);
+                                ProxyFixture.sendTo("s0").handle(event, actions);
                             }
                         },
                         backend);
                 var slow = proxy.client()) {
-            backend.always(Peer.ok(LONGEST_BODY));
+            backend.always(ScriptedServer.ok(LONGEST_BODY));
             leaveUnread(proxy, slow, answers);
-            slow.send(Fixture.get("last").replace("Host:", "Connection: close\r\nHost:"));
+            slow.send(ProxyFixture.get("last").replace("Host:", "Connection: close\r\nHost:"));
             proxy.next(RequestArrived.class);
-            slow.send(Fixture.get("behind"));
+            slow.send(ProxyFixture.get("behind"));
             goOn.countDown();
             proxy.settle();
             readAll(slow, answers);
@@ -256,26 +257,26 @@
             assertThat(slow.ended()).isTrue();
             assertThat(proxy.events).noneMatch(RequestArrived.class::isInstance);
             // It stays, but nobody waits for it.
-            Peer.until(() -> proxy.connected() == 0);
+            ScriptedServer.until(() -> proxy.connected() == 0);
         }
     }
 
     /** Has requests answered whose answers the client does not read. */
-    private static void leaveUnread(Fixture proxy, Wire client, int answers) throws Exception {
+    private static void leaveUnread(ProxyFixture proxy, RawConnection client, int answers) throws Exception {
         for (int i = 0; i < answers; i++) {
-            client.send(Fixture.get("r" + i));
+            client.send(ProxyFixture.get("r" + i));
             proxy.next(AttemptEnded.class);
             proxy.settle();
         }
     }
 
-    private static void readAll(Wire client, int answers) throws IOException {
+    private static void readAll(RawConnection client, int answers) throws IOException {
         for (int i = 0; i < answers; i++) {
             assertThat(client.read().body()).isEqualTo(LONGEST_BODY);
         }
     }
 
-    private static boolean listens(Fixture proxy) {
+    private static boolean listens(ProxyFixture proxy) {
         try {
             proxy.client().close();
             return true;
@@ -287,22 +288,22 @@
     /** Connections that hold no request, idle or silent, are given up for clients that ask something. */
     @Test
     void givesUpConnectionsThatHoldNoRequest() throws Exception {
-        var crowd = new ArrayList<Wire>();
-        try (var backend = new Peer();
-                var proxy = new Fixture(Fixture.sendTo("s0"), 128, 15_000_000, backend)) {
-            backend.always(Peer.ok("x"));
-            Wire idle = proxy.client();
+        var crowd = new ArrayList<RawConnection>();
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), 128, 15_000_000, backend)) {
+            backend.always(ScriptedServer.ok("x"));
+            RawConnection idle = proxy.client();
             crowd.add(idle);
             assertThat(idle.send(READY).read().status()).isEqualTo(503);
             for (int i = 0; i < 300; i++) {
                 crowd.add(proxy.client());
             }
             try (var client = proxy.client()) {
-                assertThat(client.send(Fixture.get("r1")).read().status()).isEqualTo(200);
+                assertThat(client.send(ProxyFixture.get("r1")).read().status()).isEqualTo(200);
             }
             assertThat(idle.ended()).isTrue();
         } finally {
-            for (Wire client : crowd) {
+            for (RawConnection client : crowd) {
                 client.close();
             }
         }
@@ -311,17 +312,17 @@
     /** Where places run short, answers end their connections: no client finds its own closed in its face. */
     @Test
     void answersEndTheirConnectionsInACrowd() throws Exception {
-        var crowd = new ArrayList<Wire>();
-        try (var proxy = new Fixture((event, actions) -> {}, 128, 15_000_000)) {
+        var crowd = new ArrayList<RawConnection>();
+        try (var proxy = new ProxyFixture((event, actions) -> {}, 128, 15_000_000)) {
             for (int i = 0; i < 40; i++) {
-                crowd.add(proxy.client().send(Fixture.get("r" + i)));
+                crowd.add(proxy.client().send(ProxyFixture.get("r" + i)));
                 proxy.next(RequestArrived.class);
             }
-            Wire more = proxy.client();
+            RawConnection more = proxy.client();
             crowd.add(more);
             assertThat(more.send(READY).read().header("Connection")).isEqualTo("close");
         } finally {
-            for (Wire client : crowd) {
+            for (RawConnection client : crowd) {
                 client.close();
             }
         }
@@ -330,31 +331,31 @@
     /** Where all hold a request, whoever comes next waits to be accepted, and is served when there is room again. */
     @Test
     void acceptsAgainOnceThereIsRoom() throws Exception {
-        var crowd = new ArrayList<Wire>();
-        try (var backend = new Peer();
-                var proxy = new Fixture(
+        var crowd = new ArrayList<RawConnection>();
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(
                         (event, actions) -> {
                             if (event instanceof RequestArrived a
                                     && a.requestId().startsWith("last")) {
-                                Fixture.sendTo("s0").handle(event, actions);
+                                ProxyFixture.sendTo("s0").handle(event, actions);
                             }
                         },
                         128,
                         15_000_000,
                         backend)) {
-            backend.always(Peer.ok("x"));
+            backend.always(ScriptedServer.ok("x"));
             for (int i = 0; i < 100; i++) {
-                crowd.add(proxy.client().send(Fixture.get("r" + i)));
+                crowd.add(proxy.client().send(ProxyFixture.get("r" + i)));
             }
-            Wire last = proxy.client().send(Fixture.get("last"));
+            RawConnection last = proxy.client().send(ProxyFixture.get("last"));
             crowd.add(last);
             // The silent ones are answered in the end, by the proxy, and make room.
             assertThat(last.read()).isNotNull();
-            for (Wire client : List.copyOf(crowd).subList(0, 20)) {
+            for (RawConnection client : List.copyOf(crowd).subList(0, 20)) {
                 assertThat(client.read().status()).isEqualTo(502);
             }
         } finally {
-            for (Wire client : crowd) {
+            for (RawConnection client : crowd) {
                 client.close();
             }
         }
--- a/src/test/java/beechfall/proxy/Wire.java
+++ b/src/test/java/beechfall/proxy/RawConnection.java
@@ -14,28 +14,28 @@
 import java.util.Queue;
 
 /** One end of a connection, read and written byte by byte: tests see just what is sent, and when it ends. */
-final class Wire implements Closeable {
+final class RawConnection implements Closeable {
     private static final int PATIENCE_MS = 10_000;
 
     final Socket socket;
     private final InputStream in;
 
-    Wire(Socket socket) throws IOException {
+    RawConnection(Socket socket) throws IOException {
         this.socket = socket;
         socket.setSoTimeout(PATIENCE_MS);
         socket.setTcpNoDelay(true);
         in = new BufferedInputStream(socket.getInputStream());
     }
 
-    static Wire to(InetSocketAddress address) throws IOException {
+    static RawConnection to(InetSocketAddress address) throws IOException {
         return to(address.getPort());
     }
 
-    static Wire to(int port) throws IOException {
-        return new Wire(new Socket(InetAddress.getLoopbackAddress(), port));
+    static RawConnection to(int port) throws IOException {
+        return new RawConnection(new Socket(InetAddress.getLoopbackAddress(), port));
     }
 
-    Wire send(String text) throws IOException {
+    RawConnection send(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         return this;
     }
@@ -63,7 +63,7 @@
 
     /** Answers every request that comes here from now on, on a thread of its own, and keeps the requests. */
     void always(String answer, Queue<Message> seen) {
-        Peer.background(() -> {
+        ScriptedServer.background(() -> {
             for (Message m = read(); m != null; m = read()) {
                 seen.add(m);
                 send(answer);
@@ -82,7 +82,7 @@
         }
     }
 
-    /** As {@link #ended}, where what this side sent may have crossed the close. */
+    /** As {@link #attemptEnded}, where what this side sent may have crossed the close. */
     boolean endedQuietly() throws IOException {
         try {
             while (in.read() >= 0) {
--- a/src/test/java/beechfall/proxy/ProxyTest.java
+++ b/src/test/java/beechfall/proxy/RequestDispatcherTest.java
@@ -13,15 +13,15 @@
 import org.junit.jupiter.api.Test;
 
 /** What the proxy does round the module, whatever the module does. */
-class ProxyTest {
+class RequestDispatcherTest {
     /** Rule 1: a request that the module forgets is answered all the same, before its client gives up. */
     @Test
     void answersInTimeWhateverTheModuleDoes() throws Exception {
-        try (var proxy = new Fixture((event, actions) -> {});
+        try (var proxy = new ProxyFixture((event, actions) -> {});
                 var client = proxy.client()) {
             long sent = System.nanoTime();
-            Wire.Message answer =
-                    client.send(Fixture.get("r1").replace("1900m", "300000u")).read();
+            RawConnection.Message answer = client.send(ProxyFixture.get("r1").replace("1900m", "300000u"))
+                    .read();
             assertThat(answer.status()).isEqualTo(502);
             assertThat(System.nanoTime() - sent).isGreaterThan(200_000_000L);
             assertThat(proxy.next(ClientDisconnected.class).requestId()).isEqualTo("r1");
@@ -30,28 +30,28 @@
 
     @Test
     void anErrorInTheModuleCostsOneRequest() throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(
                         (event, actions) -> {
                             if (event instanceof RequestArrived a
                                     && a.requestId().equals("bad")) {
                                 throw new IllegalStateException("as the test wants it");
                             }
-                            Fixture.sendTo("s0").handle(event, actions);
+                            ProxyFixture.sendTo("s0").handle(event, actions);
                         },
                         backend);
                 var client = proxy.client()) {
-            backend.always(Peer.ok("x"));
-            assertThat(client.send(Fixture.get("bad")).read().status()).isEqualTo(502);
-            assertThat(client.send(Fixture.get("good")).read().status()).isEqualTo(200);
+            backend.always(ScriptedServer.ok("x"));
+            assertThat(client.send(ProxyFixture.get("bad")).read().status()).isEqualTo(502);
+            assertThat(client.send(ProxyFixture.get("good")).read().status()).isEqualTo(200);
         }
     }
 
     /** Rule 2: no attempt goes out beside another, and none once the request is over or has had its tries. */
     @Test
     void sendsNoSecondCopy() throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(
                         (event, actions) -> {
                             if (event instanceof RequestArrived a) {
                                 actions.accept(new StartAttempt(a.requestId(), "s0", 0));
@@ -61,14 +61,14 @@
                         },
                         backend);
                 var client = proxy.client()) {
-            Wire first = backend.attemptFor(client, "r1");
+            RawConnection first = backend.attemptFor(client, "r1");
             for (int number = 1; number <= 2; number++) {
                 AttemptEnded end = proxy.next(AttemptEnded.class);
                 assertThat(end.attempt()).isEqualTo(number);
                 assertThat(end.outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
                 assertThat(end.requestEnded()).isFalse();
             }
-            first.send(Peer.ok("x"));
+            first.send(ScriptedServer.ok("x"));
             assertThat(client.read().status()).isEqualTo(200);
             assertThat(proxy.next(AttemptEnded.class).requestEnded()).isTrue();
         }
@@ -76,18 +76,18 @@
 
     @Test
     void cancelsWhenTheModuleSaysSo() throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(
                         (event, actions) -> {
                             if (event instanceof ClientDisconnected g) {
                                 actions.accept(new CancelAttempt(g.requestId(), 0));
                             }
-                            Fixture.sendTo("s0").handle(event, actions);
+                            ProxyFixture.sendTo("s0").handle(event, actions);
                         },
                         backend)) {
-            Wire attempt;
+            RawConnection attempt;
             try (var client = proxy.client()) {
-                client.send(Fixture.get("r1"));
+                client.send(ProxyFixture.get("r1"));
                 attempt = backend.accept();
                 attempt.read();
             }
@@ -101,7 +101,7 @@
     @Test
     void timersFireOnTheProxysClock() throws Exception {
         var set = new boolean[1];
-        try (var proxy = new Fixture((event, actions) -> {
+        try (var proxy = new ProxyFixture((event, actions) -> {
             if (!set[0]) {
                 set[0] = true;
                 actions.accept(new SetTimer(0, "due"));
--- a/src/test/java/beechfall/proxy/Peer.java
+++ b/src/test/java/beechfall/proxy/ScriptedServer.java
@@ -14,11 +14,11 @@
 import java.util.function.BooleanSupplier;
 
 /** A backend, or discovery, played by hand: the test accepts its connections and says what goes over them. */
-final class Peer implements Closeable {
+final class ScriptedServer implements Closeable {
     private final ServerSocket server;
-    private final List<Wire> open = new ArrayList<>();
+    private final List<RawConnection> open = new ArrayList<>();
 
-    Peer() throws IOException {
+    ScriptedServer() throws IOException {
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         server.setSoTimeout(10_000);
     }
@@ -27,8 +27,8 @@
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    Wire accept() throws IOException {
-        var wire = new Wire(server.accept());
+    RawConnection accept() throws IOException {
+        var wire = new RawConnection(server.accept());
         synchronized (open) {
             open.add(wire);
         }
@@ -36,16 +36,16 @@
     }
 
     /** Has a client send a request, and returns the new connection over which the request has come here whole. */
-    Wire attemptFor(Wire client, String requestId) throws IOException {
-        client.send(Fixture.get(requestId));
-        Wire attempt = accept();
+    RawConnection attemptFor(RawConnection client, String requestId) throws IOException {
+        client.send(ProxyFixture.get(requestId));
+        RawConnection attempt = accept();
         attempt.read();
         return attempt;
     }
 
     /** Answers every request in the same way from now on, on threads of its own; returns the requests as they come. */
-    BlockingQueue<Wire.Message> always(String answer) {
-        var seen = new LinkedBlockingQueue<Wire.Message>();
+    BlockingQueue<RawConnection.Message> always(String answer) {
+        var seen = new LinkedBlockingQueue<RawConnection.Message>();
         background(() -> {
             while (true) {
                 accept().always(answer, seen);
@@ -115,7 +115,7 @@
     public void close() throws IOException {
         server.close();
         synchronized (open) {
-            for (Wire wire : open) {
+            for (RawConnection wire : open) {
                 wire.close();
             }
         }
--- a/src/test/java/beechfall/proxy/SignalHandlersTest.java
+++ b/src/test/java/beechfall/proxy/SignalHandlersTest.java
@@ -26,9 +26,9 @@
     /** Told to end before it has begun to listen: it ends as it does later. */
     @Test
     void drainsWheneverItIsToldToEnd() throws Exception {
-        try (var agent = new Peer()) {
-            Files.writeString(file, Fixture.config(agent.address()).replace("on_request", "pushed"));
-            try (var process = ServeProcess.start(file, "")) {
+        try (var agent = new ScriptedServer()) {
+            Files.writeString(file, ProxyFixture.config(agent.address()).replace("on_request", "pushed"));
+            try (var process = ProxyProcess.start(file, "")) {
                 // It lets nobody in before this is answered, and it is not.
                 agent.accept().read();
                 process.signal("TERM");
@@ -40,18 +40,18 @@
     /** Without a handler SIGHUP would end it; a replaced file alone changes nothing where the signal can be received. */
     @Test
     void readsItsFileAgainOnSighupOnly() throws Exception {
-        try (var first = new Peer();
-                var neverAsked = new Peer();
-                var second = new Peer()) {
-            Files.writeString(file, Fixture.config(first.address()));
-            try (var process = ServeProcess.start(file, "")) {
+        try (var first = new ScriptedServer();
+                var neverAsked = new ScriptedServer();
+                var second = new ScriptedServer()) {
+            Files.writeString(file, ProxyFixture.config(first.address()));
+            try (var process = ProxyProcess.start(file, "")) {
                 first.accept().read();
-                replace(Fixture.config(neverAsked.address()));
-                replace(Fixture.config(second.address()));
+                replace(ProxyFixture.config(neverAsked.address()));
+                replace(ProxyFixture.config(second.address()));
                 process.signal("HUP");
                 assertThat(second.accept().read().first()).isEqualTo(FIRST_CALL);
                 // The first connection of all: nobody came before.
-                try (var own = Wire.to(Config.address(neverAsked.address()))) {
+                try (var own = RawConnection.to(ProxyConfig.address(neverAsked.address()))) {
                     own.send("own\r\n\r\n");
                     assertThat(neverAsked.accept().read().first()).isEqualTo("own");
                 }
@@ -65,16 +65,16 @@
     /** Where SIGHUP is inherited as ignored no handler runs: the file's replacement is what counts. */
     @Test
     void readsAReplacedFileWhereSighupIsIgnored() throws Exception {
-        try (var first = new Peer();
-                var second = new Peer();
-                var third = new Peer()) {
-            Files.writeString(file, Fixture.config(first.address()));
-            try (var process = ServeProcess.start(file, "trap '' HUP; ")) {
+        try (var first = new ScriptedServer();
+                var second = new ScriptedServer();
+                var third = new ScriptedServer()) {
+            Files.writeString(file, ProxyFixture.config(first.address()));
+            try (var process = ProxyProcess.start(file, "trap '' HUP; ")) {
                 first.accept().read();
                 process.awaitLog("SIGHUP is inherited as ignored");
-                replace(Fixture.config(second.address()));
+                replace(ProxyFixture.config(second.address()));
                 assertThat(second.accept().read().first()).isEqualTo(FIRST_CALL);
-                String config = Fixture.config(third.address());
+                String config = ProxyFixture.config(third.address());
                 Files.writeString(file, config.substring(0, config.length() / 2));
                 process.awaitLog("the new configuration is left alone");
                 Files.writeString(file, config);
@@ -87,9 +87,9 @@
     /** No Java code can receive it then: the log has to say so. */
     @Test
     void tellsThatSigtermIsIgnored() throws Exception {
-        try (var discovery = new Peer()) {
-            Files.writeString(file, Fixture.config(discovery.address()));
-            try (var process = ServeProcess.start(file, "trap '' TERM; ")) {
+        try (var discovery = new ScriptedServer()) {
+            Files.writeString(file, ProxyFixture.config(discovery.address()));
+            try (var process = ProxyProcess.start(file, "trap '' TERM; ")) {
                 process.awaitLog("SIGTERM is inherited as ignored");
             }
         }
--- a/src/test/java/beechfall/proxy/CrossingTest.java
+++ b/src/test/java/beechfall/proxy/SimultaneousEventsTest.java
@@ -17,19 +17,19 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Two things that happen at once: the loop is held up until both have, and then finds them together. */
-class CrossingTest {
-    /** Sends as {@link Fixture#sendTo} does, and stands still when a request arrives that is named so. */
-    private static Fixture.Module standingStillAt(String id, CountDownLatch goOn, long firstTimeoutUs) {
+class SimultaneousEventsTest {
+    /** Sends as {@link ProxyFixture#sendTo} does, and stands still when a request arrives that is named so. */
+    private static ProxyFixture.Module standingStillAt(String id, CountDownLatch goOn, long firstTimeoutUs) {
         return (event, actions) -> {
             if (event instanceof RequestArrived a && a.requestId().equals(id)) {
-                Peer.await(goOn);
+                ScriptedServer.await(goOn);
             }
             boolean first = event instanceof RequestArrived a && a.requestId().equals("r1");
-            Fixture.sendTo("s0", first ? firstTimeoutUs : 0).handle(event, actions);
+            ProxyFixture.sendTo("s0", first ? firstTimeoutUs : 0).handle(event, actions);
         };
     }
 
-    private static void arrived(Fixture proxy, String id) throws InterruptedException {
+    private static void arrived(ProxyFixture proxy, String id) throws InterruptedException {
         while (!proxy.next(RequestArrived.class).requestId().equals(id)) {
             // those before it
         }
@@ -40,20 +40,20 @@
     @ValueSource(strings = {"second answer", "half a line", "close", "reset"})
     void somethingComesAsAConnectionIsUsedAgain(String what) throws Exception {
         var goOn = new CountDownLatch(1);
-        try (var backend = new Peer();
-                var proxy = new Fixture(standingStillAt("r2", goOn, 0), Fixture.PATIENT, backend);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(standingStillAt("r2", goOn, 0), ProxyFixture.PATIENT, backend);
                 var client = proxy.client()) {
-            client.send(Fixture.patient("r1"));
-            Wire attempt = backend.accept();
+            client.send(ProxyFixture.patient("r1"));
+            RawConnection attempt = backend.accept();
             attempt.read();
-            attempt.send(Peer.ok("x"));
+            attempt.send(ScriptedServer.ok("x"));
             assertThat(client.read().status()).isEqualTo(200);
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.SUCCESS);
             long answered = System.nanoTime();
-            client.send(Fixture.patient("r2"));
+            client.send(ProxyFixture.patient("r2"));
             arrived(proxy, "r2");
             switch (what) {
-                case "second answer" -> attempt.send(Peer.ok("not asked for"));
+                case "second answer" -> attempt.send(ScriptedServer.ok("not asked for"));
                 case "half a line" -> attempt.send("HTTP/1.");
                 case "close" -> attempt.close();
                 default -> {
@@ -62,8 +62,8 @@
                 }
             }
             // A connection may be used again once it has been idle for some milliseconds.
-            Peer.until(() -> System.nanoTime() - answered > 20_000_000);
-            backend.always(Peer.ok("y"));
+            ScriptedServer.until(() -> System.nanoTime() - answered > 20_000_000);
+            backend.always(ScriptedServer.ok("y"));
             goOn.countDown();
             assertThat(client.read().body()).isEqualTo("y");
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.SUCCESS);
@@ -76,21 +76,21 @@
     @Test
     void anAnswerComesAsItsTimeOutFires() throws Exception {
         var goOn = new CountDownLatch(1);
-        try (var backend = new Peer();
-                var proxy = new Fixture(standingStillAt("other", goOn, 100_000), Fixture.PATIENT, backend);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(standingStillAt("other", goOn, 100_000), ProxyFixture.PATIENT, backend);
                 var client = proxy.client();
                 var other = proxy.client()) {
-            client.send(Fixture.patient("r1"));
-            Wire attempt = backend.accept();
+            client.send(ProxyFixture.patient("r1"));
+            RawConnection attempt = backend.accept();
             attempt.read();
             long sent = System.nanoTime();
-            other.send(Fixture.patient("other"));
+            other.send(ProxyFixture.patient("other"));
             arrived(proxy, "other");
-            attempt.send(Peer.ok("x"));
-            Peer.until(() -> System.nanoTime() - sent > 150_000_000);
-            backend.always(Peer.ok("y"));
+            attempt.send(ScriptedServer.ok("x"));
+            ScriptedServer.until(() -> System.nanoTime() - sent > 150_000_000);
+            backend.always(ScriptedServer.ok("y"));
             // Where it is not given up it is used again.
-            attempt.always(Peer.ok("y"), new ArrayDeque<>());
+            attempt.always(ScriptedServer.ok("y"), new ArrayDeque<>());
             goOn.countDown();
             AttemptEnded end = proxy.next(AttemptEnded.class);
             assertThat(end.requestId()).isEqualTo("r1");
@@ -101,7 +101,7 @@
             assertThat(proxy.events).noneMatch(AttemptEnded.class::isInstance);
             assertThat(proxy.held()).isZero();
             // And nothing that came late is the next one's answer.
-            assertThat(client.send(Fixture.patient("r3")).read().body()).isEqualTo("y");
+            assertThat(client.send(ProxyFixture.patient("r3")).read().body()).isEqualTo("y");
         }
     }
 
@@ -110,18 +110,18 @@
     @ValueSource(booleans = {false, true})
     void aClientLeavesAsItsAnswerComes(boolean reset) throws Exception {
         var goOn = new CountDownLatch(1);
-        try (var backend = new Peer();
-                var proxy = new Fixture(standingStillAt("other", goOn, 0), Fixture.PATIENT, backend);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(standingStillAt("other", goOn, 0), ProxyFixture.PATIENT, backend);
                 var other = proxy.client()) {
-            Wire client = proxy.client().send(Fixture.patient("r1"));
-            Wire attempt = backend.accept();
+            RawConnection client = proxy.client().send(ProxyFixture.patient("r1"));
+            RawConnection attempt = backend.accept();
             attempt.read();
-            other.send(Fixture.patient("other"));
+            other.send(ProxyFixture.patient("other"));
             arrived(proxy, "other");
-            attempt.send(Peer.ok("x"));
+            attempt.send(ScriptedServer.ok("x"));
             client.socket.setSoLinger(reset, 0);
             client.close();
-            backend.always(Peer.ok("y"));
+            backend.always(ScriptedServer.ok("y"));
             goOn.countDown();
             AttemptEnded end = proxy.next(AttemptEnded.class);
             assertThat(end.requestId()).isEqualTo("r1");
@@ -132,7 +132,7 @@
             assertThat(proxy.events).noneMatch(AttemptEnded.class::isInstance);
             assertThat(proxy.held()).isZero();
             // Two of them: the one that asked just now may not be gone yet.
-            Peer.until(() -> proxy.connected() == 1);
+            ScriptedServer.until(() -> proxy.connected() == 1);
         }
     }
 
@@ -140,35 +140,36 @@
     @Test
     void anAnswerComesAsItsBackendBeginsToDrain() throws Exception {
         var goOn = new CountDownLatch(1);
-        Fixture.Module watching = Fixture.watching("s0");
-        try (var backend = new Peer();
-                var proxy = new Fixture(
+        ProxyFixture.Module watching = ProxyFixture.watching("s0");
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(
                         (event, actions) -> {
                             if (event instanceof RequestArrived a
                                     && a.requestId().equals("other")) {
-                                Peer.await(goOn);
+                                ScriptedServer.await(goOn);
                             } else {
                                 watching.handle(event, actions);
                             }
                         },
-                        Fixture.PATIENT,
+                        ProxyFixture.PATIENT,
                         backend);
                 var client = proxy.client();
                 var other = proxy.client()) {
-            Wire watch = proxy.discovery.accept();
+            RawConnection watch = proxy.discovery.accept();
             watch.read();
-            client.send(Fixture.patient("r1"));
-            Wire attempt = backend.accept();
+            client.send(ProxyFixture.patient("r1"));
+            RawConnection attempt = backend.accept();
             attempt.read();
-            other.send(Fixture.patient("other"));
+            other.send(ProxyFixture.patient("other"));
             arrived(proxy, "other");
-            attempt.send(Peer.ok("x"));
-            watch.send(Peer.ok(Fixture.list(42, false, Fixture.entry("s0", backend.address(), "draining"))));
+            attempt.send(ScriptedServer.ok("x"));
+            watch.send(ScriptedServer.ok(
+                    ProxyFixture.list(42, false, ProxyFixture.entry("s0", backend.address(), "draining"))));
             goOn.countDown();
             assertThat(client.read().body()).isEqualTo("x");
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.SUCCESS);
             assertThat(attempt.ended()).isTrue();
-            client.send(Fixture.patient("r2"));
+            client.send(ProxyFixture.patient("r2"));
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
             assertThat(client.read().status()).isEqualTo(502);
         }
@@ -177,25 +178,26 @@
     /** With the module that is in service: what waited when a backend began to drain goes elsewhere. */
     @Test
     void aChangeIsToldWhileRequestsWait() throws Exception {
-        var clients = new ArrayList<Wire>();
-        try (var backend = new Peer();
-                var other = new Peer();
-                var proxy = Fixture.inService(Fixture.PATIENT, backend)) {
+        var clients = new ArrayList<RawConnection>();
+        try (var backend = new ScriptedServer();
+                var other = new ScriptedServer();
+                var proxy = ProxyFixture.inService(ProxyFixture.PATIENT, backend)) {
             while (clients.size() < proxy.sends.size() + 2) {
-                clients.add(proxy.client().send(Fixture.patient("r" + clients.size())));
+                clients.add(proxy.client().send(ProxyFixture.patient("r" + clients.size())));
                 proxy.next(RequestArrived.class);
                 proxy.settle();
             }
             int sent = proxy.sends.size();
             proxy.list(
-                    Fixture.entry("s0", backend.address(), "draining"), Fixture.entry("s1", other.address(), "ready"));
-            other.always(Peer.ok("x"));
+                    ProxyFixture.entry("s0", backend.address(), "draining"),
+                    ProxyFixture.entry("s1", other.address(), "ready"));
+            other.always(ScriptedServer.ok("x"));
             while (proxy.next(EndpointUpdate.class).kind() != UpdateKind.DELTA) {
                 // what it had in its last life
             }
             proxy.settle();
             // Those that are out end: for what waits there is room then, however long that took.
-            for (Wire client : clients.subList(0, sent)) {
+            for (RawConnection client : clients.subList(0, sent)) {
                 backend.accept();
                 client.close();
                 proxy.next(AttemptEnded.class);
@@ -204,7 +206,7 @@
             List<StartAttempt> later = List.copyOf(proxy.sends).subList(sent, proxy.sends.size());
             assertThat(later).isNotEmpty().allMatch(s -> s.endpointId().equals("s1"));
         } finally {
-            for (Wire client : clients) {
+            for (RawConnection client : clients) {
                 client.close();
             }
         }
--- a/src/test/java/beechfall/proxy/BackendsTest.java
+++ b/src/test/java/beechfall/proxy/UpstreamClientTest.java
@@ -14,25 +14,25 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What becomes of an attempt: rule 2 rests on 'never ran' being said only where that is certain. */
-class BackendsTest {
+class UpstreamClientTest {
     private static final String OK_X = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx";
 
     @ParameterizedTest
     @CsvSource({
-        "503 Unavailable,X-Not-Processed: 1,FULL",
-        "504 Late,X-Not-Processed: 1,FULL",
+        "503 Unavailable,X-Not-Processed: 1,REJECTED",
+        "504 Late,X-Not-Processed: 1,REJECTED",
         "503 Unavailable,X-Not-Processed: 0,ERROR",
         "504 Late,X-Other: 1,ERROR",
         "500 Error,X-Not-Processed: 1,ERROR",
         "404 Unknown,X-Other: 1,ERROR",
-        "200 OK,X-Not-Processed: 1,OK"
+        "200 OK,X-Not-Processed: 1,SUCCESS"
     })
     void tellsOutcomesByTheirAnswers(String status, String header, AttemptOutcome outcome) throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(Fixture.sendTo("s0"), backend);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
-            backend.always(Peer.answer(status, "x", header));
-            client.send(Fixture.get("r1"));
+            backend.always(ScriptedServer.answer(status, "x", header));
+            client.send(ProxyFixture.get("r1"));
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(outcome);
             assertThat(client.read().status()).isEqualTo(outcome == AttemptOutcome.SUCCESS ? 200 : 502);
         }
@@ -46,11 +46,11 @@
         "'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n'"
     })
     void aBreakAfterTheLastByteMayHaveRun(String part) throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(Fixture.sendTo("s0"), backend);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
-            client.send(Fixture.get("r1"));
-            try (Wire attempt = backend.accept()) {
+            client.send(ProxyFixture.get("r1"));
+            try (RawConnection attempt = backend.accept()) {
                 attempt.read();
                 attempt.send(part);
             }
@@ -61,14 +61,14 @@
 
     /** Over HTTP an answer may have no length, and is whole at the end of its connection: a reset is no end. */
     @ParameterizedTest
-    @CsvSource({"false,OK,200", "true,RESET,502"})
+    @CsvSource({"false,SUCCESS,200", "true,RESET,502"})
     void anAnswerWithoutALengthIsWholeAtItsEndAlone(boolean reset, AttemptOutcome outcome, int status)
             throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(Fixture.sendTo("s0"), backend);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
-            client.send(Fixture.get("r1"));
-            try (Wire attempt = backend.accept()) {
+            client.send(ProxyFixture.get("r1"));
+            try (RawConnection attempt = backend.accept()) {
                 attempt.read();
                 attempt.send("HTTP/1.1 200 OK\r\n\r\nhalf");
                 if (reset) {
@@ -82,11 +82,11 @@
 
     @Test
     void aRefusedConnectionNeverRan() throws Exception {
-        var backend = new Peer();
+        var backend = new ScriptedServer();
         backend.close();
-        try (var proxy = new Fixture(Fixture.sendTo("s0"), backend);
+        try (var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
-            client.send(Fixture.get("r1"));
+            client.send(ProxyFixture.get("r1"));
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.CONNECT_FAILED);
             assertThat(client.read().status()).isEqualTo(502);
         }
@@ -95,11 +95,11 @@
     /** Something came back, so it may have run; and nothing that follows on that connection is taken for an answer. */
     @Test
     void rubbishIsAnErrorAndEndsTheConnection() throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(Fixture.sendTo("s0"), backend);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
-            Wire attempt = backend.attemptFor(client, "r1");
-            attempt.send("rubbish\r\n\r\n" + Peer.ok("not asked for"));
+            RawConnection attempt = backend.attemptFor(client, "r1");
+            attempt.send("rubbish\r\n\r\n" + ScriptedServer.ok("not asked for"));
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.ERROR);
             assertThat(client.read().status()).isEqualTo(502);
             assertThat(attempt.ended()).isTrue();
@@ -117,13 +117,13 @@
     /** A backend that resets whatever comes on a connection that has stood idle gets new connections before long. */
     @Test
     void connectionsThatAreResetAfterStandingIdleAreNotUsedAgain() throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(Fixture.sendTo("s0"), backend);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
-            Peer.background(() -> {
+            ScriptedServer.background(() -> {
                 while (true) {
-                    Wire connection = backend.accept();
-                    Peer.background(() -> {
+                    RawConnection connection = backend.accept();
+                    ScriptedServer.background(() -> {
                         connection.read();
                         connection.send(OK_X);
                         connection.read();
@@ -134,7 +134,7 @@
             int resets = 0;
             for (int served = 0; served < 2; ) {
                 settle();
-                client.send(Fixture.get("r" + resets + "-" + served));
+                client.send(ProxyFixture.get("r" + resets + "-" + served));
                 served = client.read().status() == 200 ? served + 1 : 0;
                 resets += served == 0 ? 1 : 0;
                 assertThat(resets).isLessThan(20);
@@ -145,26 +145,26 @@
     /** What this side gives up is no reset: a backend that hangs now and then keeps its connections in use. */
     @Test
     void aTimeOutTellsNothingOfIdleConnections() throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(
                         (event, actions) -> {
                             if (event instanceof RequestArrived a) {
                                 actions.accept(new StartAttempt(
                                         a.requestId(), "s0", a.requestId().startsWith("hangs") ? 30_000 : 0));
                             } else {
-                                Fixture.sendTo("s0").handle(event, actions);
+                                ProxyFixture.sendTo("s0").handle(event, actions);
                             }
                         },
                         backend);
                 var client = proxy.client()) {
             for (int i = 0; i < 8; i++) {
-                client.send(Fixture.get("r" + i));
-                Wire attempt = backend.accept();
+                client.send(ProxyFixture.get("r" + i));
+                RawConnection attempt = backend.accept();
                 attempt.read();
                 attempt.send(OK_X);
                 assertThat(client.read().status()).isEqualTo(200);
                 settle();
-                client.send(Fixture.get("hangs" + i));
+                client.send(ProxyFixture.get("hangs" + i));
                 assertThat(attempt.read().header("X-Request-ID")).isEqualTo("hangs" + i);
                 assertThat(client.read().status()).isEqualTo(502);
                 assertThat(attempt.ended()).isTrue();
@@ -191,10 +191,10 @@
                 "\0noise without end"
             })
     void aSpoiltAnswerMayHaveRunAndIsToldAtOnce(String answer) throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(Fixture.sendTo("s0"), backend);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
-            Wire attempt = backend.attemptFor(client, "r1");
+            RawConnection attempt = backend.attemptFor(client, "r1");
             attempt.send(answer);
             AttemptEnded end = proxy.next(AttemptEnded.class);
             assertThat(end.outcome()).isEqualTo(AttemptOutcome.ERROR);
@@ -207,12 +207,12 @@
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 103 Early Hints\r\n\r\n", "X-Pad: pppppppp\r\n"})
     void anAnswerWithoutEndIsCutOff(String more) throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(Fixture.sendTo("s0"), backend);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
-            Wire attempt = backend.attemptFor(client, "r1");
+            RawConnection attempt = backend.attemptFor(client, "r1");
             // It may be cut off before all of it is written.
-            Peer.background(
+            ScriptedServer.background(
                     () -> attempt.send((more.startsWith("HTTP") ? "" : "HTTP/1.1 200 OK\r\n") + more.repeat(10_000)));
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.ERROR);
         }
@@ -227,10 +227,10 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nxHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\ny"
             })
     void whatComesBehindAnAnswerEndsItsConnection(String answer) throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(Fixture.sendTo("s0"), backend);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
-            Wire attempt = backend.attemptFor(client, "r1");
+            RawConnection attempt = backend.attemptFor(client, "r1");
             attempt.send(answer);
             assertThat(client.read().body()).isEqualTo("x");
             assertThat(attempt.ended()).isTrue();
@@ -244,14 +244,14 @@
                 "HTTP/1.1 200 OK\r\nX-Server-Load: TEXT ?\r\nContent-Length: 1\r\n\r\nx"
             })
     void aGoodAnswerIsServedAndItsConnectionKept(String answer) throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(Fixture.sendTo("s0"), backend);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
-            Wire attempt = backend.attemptFor(client, "r1");
+            RawConnection attempt = backend.attemptFor(client, "r1");
             attempt.send(answer);
             assertThat(client.read().body()).isEqualTo("x");
             settle();
-            client.send(Fixture.get("r2"));
+            client.send(ProxyFixture.get("r2"));
             assertThat(attempt.read().header("X-Request-ID")).isEqualTo("r2");
             attempt.send(OK_X);
             assertThat(client.read().body()).isEqualTo("x");
@@ -263,26 +263,26 @@
 
     @Test
     void anAnswerBehindAnAnswerIsNotTakenForTheNext() throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(Fixture.sendTo("s0"), backend);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
-            Wire attempt = backend.attemptFor(client, "r1");
-            attempt.send(Peer.ok("one") + Peer.ok("two"));
+            RawConnection attempt = backend.attemptFor(client, "r1");
+            attempt.send(ScriptedServer.ok("one") + ScriptedServer.ok("two"));
             assertThat(client.read().body()).isEqualTo("one");
             assertThat(attempt.ended()).isTrue();
-            Wire next = backend.attemptFor(client, "r2");
-            next.send(Peer.ok("three"));
+            RawConnection next = backend.attemptFor(client, "r2");
+            next.send(ScriptedServer.ok("three"));
             assertThat(client.read().body()).isEqualTo("three");
         }
     }
 
     @Test
     void anAnswerTooLongIsAnError() throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(Fixture.sendTo("s0"), backend);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
-            backend.always(Peer.ok("x".repeat(70_000)));
-            client.send(Fixture.get("r1"));
+            backend.always(ScriptedServer.ok("x".repeat(70_000)));
+            client.send(ProxyFixture.get("r1"));
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.ERROR);
         }
     }
@@ -290,9 +290,9 @@
     /** While one attempt is out no other may be: the connection of one that is given up ends before the next begins. */
     @Test
     void aTimeOutClosesTheConnectionBeforeTheNextAttempt() throws Exception {
-        try (var slow = new Peer();
-                var other = new Peer();
-                var proxy = new Fixture(
+        try (var slow = new ScriptedServer();
+                var other = new ScriptedServer();
+                var proxy = new ProxyFixture(
                         (event, actions) -> {
                             if (event instanceof RequestArrived a) {
                                 actions.accept(new StartAttempt(a.requestId(), "s0", 50_000));
@@ -303,41 +303,41 @@
                         slow,
                         other);
                 var client = proxy.client()) {
-            client.send(Fixture.get("r1"));
-            Wire first = slow.accept();
+            client.send(ProxyFixture.get("r1"));
+            RawConnection first = slow.accept();
             first.read();
-            Wire second = other.accept();
+            RawConnection second = other.accept();
             second.read();
             assertThat(first.ended()).isTrue();
-            second.send(Peer.ok("x"));
+            second.send(ScriptedServer.ok("x"));
             assertThat(client.read().status()).isEqualTo(200);
         }
     }
 
     @Test
     void keepsConnectionsAndReleasesThem() throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(
                         (event, actions) -> {
                             if (event instanceof RequestArrived a
                                     && a.requestId().equals("r3")) {
                                 actions.accept(new CloseIdleConnections("s0"));
                             }
-                            Fixture.sendTo("s0").handle(event, actions);
+                            ProxyFixture.sendTo("s0").handle(event, actions);
                         },
                         backend);
                 var client = proxy.client()) {
-            client.send(Fixture.get("r1"));
-            Wire first = backend.accept();
+            client.send(ProxyFixture.get("r1"));
+            RawConnection first = backend.accept();
             for (String next : List.of("r2", "r3")) {
                 first.read();
-                first.send(Peer.ok("x"));
+                first.send(ScriptedServer.ok("x"));
                 assertThat(client.read().status()).isEqualTo(200);
                 settle();
-                client.send(Fixture.get(next));
+                client.send(ProxyFixture.get(next));
             }
             assertThat(first.ended()).isTrue();
-            Wire second = backend.accept();
+            RawConnection second = backend.accept();
             assertThat(second.read().header("X-Request-ID")).isEqualTo("r3");
         }
     }
@@ -345,11 +345,11 @@
     /** A request that crosses the backend's close of an idle connection may have run: this side closes it first. */
     @Test
     void closesIdleConnectionsBeforeTheBackendDoes() throws Exception {
-        try (var backend = new Peer();
-                var proxy = new Fixture(Fixture.sendTo("s0"), 1_024, 500_000, backend);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), 1_024, 500_000, backend);
                 var client = proxy.client()) {
-            Wire attempt = backend.attemptFor(client, "r1");
-            attempt.send(Peer.ok("x"));
+            RawConnection attempt = backend.attemptFor(client, "r1");
+            attempt.send(ScriptedServer.ok("x"));
             client.read();
             assertThat(attempt.ended()).isTrue();
         }
@@ -359,12 +359,13 @@
     @Test
     void aDrainStopsWhatIsStillConnecting() throws Exception {
         try (var full = new FullBacklog();
-                var proxy = new Fixture(Fixture.watching("s1"), Fixture.PATIENT);
+                var proxy = new ProxyFixture(ProxyFixture.watching("s1"), ProxyFixture.PATIENT);
                 var client = proxy.client()) {
-            Wire next = proxy.list(Fixture.entry("s1", full.address(), "ready"));
-            client.send(Fixture.get("r1"));
+            RawConnection next = proxy.list(ProxyFixture.entry("s1", full.address(), "ready"));
+            client.send(ProxyFixture.get("r1"));
             proxy.next(RequestArrived.class);
-            next.send(Peer.ok(Fixture.list(43, false, Fixture.entry("s1", full.address(), "draining"))));
+            next.send(ScriptedServer.ok(
+                    ProxyFixture.list(43, false, ProxyFixture.entry("s1", full.address(), "draining"))));
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
             assertThat(client.read().status()).isEqualTo(502);
         }
@@ -373,21 +374,22 @@
     /** The id says which backend it is, the address only where: what was kept open to the old place is not used again. */
     @Test
     void followsABackendToItsNewAddress() throws Exception {
-        try (var old = new Peer();
-                var moved = new Peer();
-                var proxy = new Fixture(Fixture.watching("s0"), 1_024, 60_000_000, old);
+        try (var old = new ScriptedServer();
+                var moved = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.watching("s0"), 1_024, 60_000_000, old);
                 var client = proxy.client()) {
-            client.send(Fixture.get("r1"));
-            Wire attempt = old.accept();
+            client.send(ProxyFixture.get("r1"));
+            RawConnection attempt = old.accept();
             attempt.read();
-            attempt.send(Peer.ok("old"));
+            attempt.send(ScriptedServer.ok("old"));
             assertThat(client.read().body()).isEqualTo("old");
-            Wire watch = proxy.discovery.accept();
+            RawConnection watch = proxy.discovery.accept();
             watch.read();
-            watch.send(Peer.ok(Fixture.list(42, false, Fixture.entry("s0", moved.address(), "ready"))));
+            watch.send(ScriptedServer.ok(
+                    ProxyFixture.list(42, false, ProxyFixture.entry("s0", moved.address(), "ready"))));
             assertThat(attempt.ended()).isTrue();
-            moved.always(Peer.ok("new"));
-            assertThat(client.send(Fixture.get("r2")).read().body()).isEqualTo("new");
+            moved.always(ScriptedServer.ok("new"));
+            assertThat(client.send(ProxyFixture.get("r2")).read().body()).isEqualTo("new");
         }
     }
 }
--- a/src/test/java/beechfall/proxy/WarmupTest.java
+++ b/src/test/java/beechfall/proxy/WarmupTest.java
@@ -17,7 +17,7 @@
     @Test
     void servesWhatItAsks() throws Exception {
         // Not all: on a slow machine some are late.
-        assertThat(Warmup.run(Config.parse(Fixture.config()), 60_000)).isGreaterThan(1_000);
+        assertThat(Warmup.run(ProxyConfig.parse(ProxyFixture.config()), 60_000)).isGreaterThan(1_000);
     }
 
     /** A thread that never waits looks like one that hangs; where the CPU is scarce, so it does for long. */
@@ -27,7 +27,7 @@
         Set<Long> before = LongStream.of(threads.getAllThreadIds()).boxed().collect(Collectors.toSet());
         var run = CompletableFuture.supplyAsync(() -> {
             try {
-                return Warmup.run(Config.parse(Fixture.config()), 60_000);
+                return Warmup.run(ProxyConfig.parse(ProxyFixture.config()), 60_000);
             } catch (Exception e) {
                 throw new CompletionException(e);
             }
@@ -49,6 +49,6 @@
 
     @Test
     void endsWhenItsTimeIsUp() throws Exception {
-        assertThat(Warmup.run(Config.parse(Fixture.config()), 0)).isLessThan(1_000);
+        assertThat(Warmup.run(ProxyConfig.parse(ProxyFixture.config()), 0)).isLessThan(1_000);
     }
 }
--- a/src/test/java/beechfall/wire/HostTest.java
+++ b/src/test/java/beechfall/wire/SimulatorHostTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The wire: round trips, several instances, and plain messages about malformed input. */
-class HostTest {
+class SimulatorHostTest {
     private static final String SETUP =
             "balancers=3 rank=2 bounds.cancel=true bounds.may_duplicate=false bounds.most_tries=4 "
                     + "bounds.probes=false bounds.max_retry_after_us=2000000 bounds.connect_timeout_us=150000 registry_mode=on_request locality=skoyen "
@@ -50,7 +50,7 @@
     private final List<Action> actions = new ArrayList<>();
 
     private int run(String input) throws IOException {
-        return new Host(s -> {
+        return new SimulatorHost(s -> {
                     settings.add(s);
                     return (now, event, sink) -> {
                         events.add(event);
