--- a/src/main/java/beechfall/proxy/ProxyConfig.java
+++ b/src/main/java/beechfall/proxy/ProxyConfig.java
@@ -18,7 +18,7 @@
 /**
  * What a proxy is told at its start.
  *
- * @param known the backends as this proxy last had them, in discovery's form; null where there are none
+ * @param cachedEndpoints the backends as this proxy last had them, in discovery's form; null where there are none
  * @param connIdleUs a backend closes a connection that has stood idle for so long
  */
 record ProxyConfig(
