--- a/src/main/java/beechfall/DiscoveryBackoff.java
+++ b/src/main/java/gaugegw/balancer/DiscoveryBackoff.java
@@ -1,4 +1,4 @@
-package beechfall;
+package gaugegw.balancer;
 
 import java.util.Random;
 
--- a/src/main/java/beechfall/Action.java
+++ b/src/main/java/gaugegw/balancer/api/Action.java
@@ -1,4 +1,4 @@
-package beechfall;
+package gaugegw.balancer.api;
 
 /** Something the proxy is to do. */
 public sealed interface Action {
--- a/src/main/java/beechfall/AttemptOutcome.java
+++ b/src/main/java/gaugegw/balancer/api/AttemptOutcome.java
@@ -1,4 +1,4 @@
-package beechfall;
+package gaugegw.balancer.api;
 
 /** How an attempt ended. */
 public enum AttemptOutcome {
--- a/src/main/java/beechfall/BalancerSettings.java
+++ b/src/main/java/gaugegw/balancer/api/BalancerSettings.java
@@ -1,4 +1,4 @@
-package beechfall;
+package gaugegw.balancer.api;
 
 import java.util.List;
 
--- a/src/main/java/beechfall/Endpoint.java
+++ b/src/main/java/gaugegw/balancer/api/Endpoint.java
@@ -1,4 +1,4 @@
-package beechfall;
+package gaugegw.balancer.api;
 
 /** One line of the server list. {@code startedAtUs} is 0 for long ago; {@code weight} only compares backends. */
 public record Endpoint(
--- a/src/main/java/beechfall/EndpointState.java
+++ b/src/main/java/gaugegw/balancer/api/EndpointState.java
@@ -1,4 +1,4 @@
-package beechfall;
+package gaugegw.balancer.api;
 
 /** What the server list says of a backend. */
 public enum EndpointState {
--- a/src/main/java/beechfall/Idempotency.java
+++ b/src/main/java/gaugegw/balancer/api/Idempotency.java
@@ -1,4 +1,4 @@
-package beechfall;
+package gaugegw.balancer.api;
 
 /** What a request may have done when it is sent twice. */
 public enum Idempotency {
--- a/src/main/java/beechfall/Limits.java
+++ b/src/main/java/gaugegw/balancer/api/Limits.java
@@ -1,4 +1,4 @@
-package beechfall;
+package gaugegw.balancer.api;
 
 /**
  * What the proxy may do. {@code listMustBeAsked}: the list comes only after {@link WatchEndpoints} or {@link FetchEndpoints}. An attempt
--- a/src/main/java/beechfall/RequestClass.java
+++ b/src/main/java/gaugegw/balancer/api/RequestClass.java
@@ -1,4 +1,4 @@
-package beechfall;
+package gaugegw.balancer.api;
 
 /** A request class: an answer within {@code aimUs} earns {@code worth}, a later one that part of it. */
 public record RequestClass(
--- a/src/main/java/beechfall/SafetyLimits.java
+++ b/src/main/java/gaugegw/balancer/api/SafetyLimits.java
@@ -1,4 +1,4 @@
-package beechfall;
+package gaugegw.balancer.api;
 
 /**
  * The figures of the rules: a backend starts at {@code coldFrom} of its capacity, is warm after {@code coldUs},
--- a/src/main/java/beechfall/Tenant.java
+++ b/src/main/java/gaugegw/balancer/api/Tenant.java
@@ -1,4 +1,4 @@
-package beechfall;
+package gaugegw.balancer.api;
 
 /** A tenant and the requests a second, over all proxies, that its share entitles it to. */
 public record Tenant(String name, double quotaPerSecond) {
--- a/src/main/java/beechfall/UpdateKind.java
+++ b/src/main/java/gaugegw/balancer/api/UpdateKind.java
@@ -1,4 +1,4 @@
-package beechfall;
+package gaugegw.balancer.api;
 
 /** What a list update holds: changes, a full list, the list as it was before a restart, or a failed call. */
 public enum UpdateKind {
--- a/src/main/java/beechfall/proxy/ClientConnection.java
+++ b/src/main/java/gaugegw/proxy/client/ClientConnection.java
@@ -1,5 +1,7 @@
-package beechfall.proxy;
+package gaugegw.proxy.client;
 
+import gaugegw.proxy.http.Framing;
+import gaugegw.proxy.transport.Transport;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/main/java/beechfall/proxy/ClientExchange.java
+++ b/src/main/java/gaugegw/proxy/client/ClientExchange.java
@@ -1,6 +1,9 @@
-package beechfall.proxy;
+package gaugegw.proxy.client;
 
-import beechfall.Idempotency;
+import gaugegw.balancer.api.Idempotency;
+import gaugegw.proxy.dispatch.RequestDispatcher;
+import gaugegw.proxy.http.ProtocolHeaders;
+import gaugegw.proxy.upstream.UpstreamClient;
 import io.netty.channel.ChannelFuture;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
 import io.netty.handler.codec.http.FullHttpRequest;
--- a/src/main/java/beechfall/proxy/Frontend.java
+++ b/src/main/java/gaugegw/proxy/client/Frontend.java
@@ -1,7 +1,12 @@
-package beechfall.proxy;
+package gaugegw.proxy.client;
 
-import beechfall.BalancerSettings;
-import beechfall.Idempotency;
+import gaugegw.balancer.api.BalancerSettings;
+import gaugegw.balancer.api.Idempotency;
+import gaugegw.proxy.dispatch.RequestDispatcher;
+import gaugegw.proxy.logging.RateLimitedLog;
+import gaugegw.proxy.transport.Clock;
+import gaugegw.proxy.transport.ConnectionLimiter;
+import gaugegw.proxy.transport.Transport;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelInitializer;
@@ -15,7 +20,7 @@
 import java.util.function.BooleanSupplier;
 
 /** The clients' side: takes requests in, turns bad ones away, and gives each good one exactly one answer. */
-final class Frontend {
+public final class Frontend {
     /** How often the loop shows that it runs, and how late that may be before it counts as held up. */
     private static final long BEAT_US = 10_000;
     /** How often connections are looked at that hold no request. */
@@ -39,7 +44,7 @@
     private long beatAt;
     long heldUpFrom = Long.MAX_VALUE;
 
-    Frontend(
+    public Frontend(
             Clock clock,
             RateLimitedLog log,
             RequestDispatcher proxy,
@@ -55,7 +60,7 @@
         settings.tenants().forEach(t -> tenants.add(t.name()));
     }
 
-    ChannelFuture listen(Transport transport, InetSocketAddress address) {
+    public ChannelFuture listen(Transport transport, InetSocketAddress address) {
         beatAt = clock.now();
         transport.loop().scheduleWithFixedDelay(this::beat, BEAT_US, BEAT_US, TimeUnit.MICROSECONDS);
         transport.loop().scheduleWithFixedDelay(this::sweep, SWEEP_US, SWEEP_US, TimeUnit.MICROSECONDS);
@@ -97,29 +102,29 @@
     }
 
     /** Whoever asks hears that no further clients are wanted; those that are here, or come all the same, are served. */
-    void leave() {
+    public void leave() {
         leaving = true;
     }
 
     /** Accepts no more. */
-    void stopListening() {
+    public void stopListening() {
         if (listener != null) {
             listener.close();
         }
     }
 
     /** From now on each answer is its connection's last, so that the clients go elsewhere. */
-    void closeAfterAnswers() {
+    public void closeAfterAnswers() {
         closing = true;
     }
 
     /** Closes the connections on which nothing is asked. */
-    void closeIdle() {
+    public void closeIdle() {
         List.copyOf(connections).forEach(ClientConnection::closeIfIdle);
     }
 
     /** Returns the number of clients still connected: they may ask, wait for an answer, or it is still being written. */
-    int connected() {
+    public int connected() {
         return connections.size();
     }
 }
--- a/src/main/java/beechfall/proxy/RequestAggregator.java
+++ b/src/main/java/gaugegw/proxy/client/RequestAggregator.java
@@ -1,5 +1,6 @@
-package beechfall.proxy;
+package gaugegw.proxy.client;
 
+import gaugegw.proxy.upstream.UpstreamClient;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelPipeline;
 import io.netty.handler.codec.http.FullHttpResponse;
--- a/src/main/java/beechfall/proxy/ConfigFileWatcher.java
+++ b/src/main/java/gaugegw/proxy/config/ConfigFileWatcher.java
@@ -1,4 +1,4 @@
-package beechfall.proxy;
+package gaugegw.proxy.config;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -11,12 +11,12 @@
  * Polls the configuration file for replacement, for a process that can't receive the signal to reload it. While the
  * file is missing or invalid, the last valid configuration stays in force and the file is read again at each poll.
  */
-final class ConfigFileWatcher {
+public final class ConfigFileWatcher {
     /**
      * Time between two polls, in milliseconds. The platform closes the old discovery address 1.5 s after the signal and
      * counts news as told after 4 s: a replacement is read well inside either.
      */
-    static final long POLL_INTERVAL_MS = 200;
+    public static final long POLL_INTERVAL_MS = 200;
 
     private final Path file;
     private final Consumer<ProxyConfig> onChange;
@@ -34,7 +34,8 @@
      * @param onChange receives each new valid configuration
      * @param onInvalid receives the reason why a state of the file can't be used, once for each state
      */
-    ConfigFileWatcher(Path file, ProxyConfig current, Consumer<ProxyConfig> onChange, Consumer<Exception> onInvalid) {
+    public ConfigFileWatcher(
+            Path file, ProxyConfig current, Consumer<ProxyConfig> onChange, Consumer<Exception> onInvalid) {
         this.file = file;
         this.current = current;
         this.onChange = onChange;
@@ -42,7 +43,7 @@
     }
 
     /** Polls from now on, on a thread of its own, as long as the process runs. */
-    void start() {
+    public void start() {
         var thread = new Thread(this::run, "config-file-watcher");
         thread.setDaemon(true);
         thread.start();
--- a/src/main/java/beechfall/proxy/JsonTrees.java
+++ b/src/main/java/gaugegw/proxy/config/JsonTrees.java
@@ -1,4 +1,4 @@
-package beechfall.proxy;
+package gaugegw.proxy.config;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParseException;
@@ -16,18 +16,18 @@
  * Puts what Jackson's parser reads into Jackson's nodes. Its {@code ObjectMapper} does the same, but sets up formats of
  * dates, locales and all that beans need first: a quarter of what a start costs.
  */
-final class JsonTrees {
+public final class JsonTrees {
     private static final JsonFactory FACTORY = new JsonFactory();
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
     private JsonTrees() {}
 
-    static ObjectNode object() {
+    public static ObjectNode object() {
         return NODES.objectNode();
     }
 
     /** Returns the document, or a {@link MissingNode} where there is none. */
-    static JsonNode read(InputStream document) throws IOException {
+    public static JsonNode read(InputStream document) throws IOException {
         try (JsonParser parser = FACTORY.createParser(document)) {
             return parser.nextToken() == null ? MissingNode.getInstance() : value(parser);
         }
--- a/src/main/java/beechfall/proxy/ProxyConfig.java
+++ b/src/main/java/gaugegw/proxy/config/ProxyConfig.java
@@ -1,9 +1,9 @@
-package beechfall.proxy;
+package gaugegw.proxy.config;
 
-import beechfall.BalancerSettings;
-import beechfall.wire.SettingsReader;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
+import gaugegw.balancer.api.BalancerSettings;
+import gaugegw.settings.SettingsReader;
 import io.netty.util.NetUtil;
 import java.io.IOException;
 import java.io.InputStream;
@@ -21,7 +21,7 @@
  * @param cachedEndpoints the backends as this proxy last had them, in discovery's form; null where there are none
  * @param connIdleUs a backend closes a connection that has stood idle for so long
  */
-record ProxyConfig(
+public record ProxyConfig(
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
@@ -32,10 +32,10 @@
         long connectTimeoutUs) {
 
     /** A configuration that no proxy can run with; the message is for the operators and names the field. */
-    static final class InvalidConfigException extends Exception {
+    public static final class InvalidConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        InvalidConfigException(String message) {
+        public InvalidConfigException(String message) {
             super(message);
         }
     }
@@ -44,16 +44,16 @@
      * Returns whether this proxy is new, as far as can be known: it has no list that discovery has ever changed. One
      * that comes back is missed meanwhile, and has no time for anything that can be left out.
      */
-    boolean isFirstStart() {
+    public boolean isFirstStart() {
         return cachedEndpoints == null || cachedEndpoints.path("version").asLong() == 0;
     }
 
-    ProxyConfig listeningAt(InetSocketAddress address) {
+    public ProxyConfig listeningAt(InetSocketAddress address) {
         return new ProxyConfig(
                 name, address, discovery, sockets, cachedEndpoints, settings, connIdleUs, connectTimeoutUs);
     }
 
-    static ProxyConfig read(Path file) throws InvalidConfigException {
+    public static ProxyConfig read(Path file) throws InvalidConfigException {
         try (InputStream json = Files.newInputStream(file)) {
             return parse(JsonTrees.read(json));
         } catch (JsonProcessingException e) {
@@ -63,7 +63,7 @@
         }
     }
 
-    static ProxyConfig parse(JsonNode json) throws InvalidConfigException {
+    public static ProxyConfig parse(JsonNode json) throws InvalidConfigException {
         JsonNode settings = json.path("settings");
         if (!settings.isObject()) {
             throw new InvalidConfigException("'settings': an object is wanted");
@@ -135,7 +135,7 @@
     }
 
     /** Reads a numeric address and a port, or returns null: there is no DNS, and none is to be waited for. */
-    static InetSocketAddress address(String text) {
+    public static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         byte[] host = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         if (host == null) {
--- a/src/main/java/beechfall/proxy/DiscoveryCall.java
+++ b/src/main/java/gaugegw/proxy/discovery/DiscoveryCall.java
@@ -1,5 +1,7 @@
-package beechfall.proxy;
+package gaugegw.proxy.discovery;
 
+import gaugegw.proxy.logging.RateLimitedLog;
+import gaugegw.proxy.transport.Transport;
 import io.netty.buffer.ByteBufInputStream;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
--- a/src/main/java/beechfall/proxy/EndpointList.java
+++ b/src/main/java/gaugegw/proxy/discovery/EndpointList.java
@@ -1,8 +1,12 @@
-package beechfall.proxy;
+package gaugegw.proxy.discovery;
 
-import beechfall.Endpoint;
-import beechfall.EndpointState;
 import com.fasterxml.jackson.databind.JsonNode;
+import gaugegw.balancer.api.Endpoint;
+import gaugegw.balancer.api.EndpointState;
+import gaugegw.proxy.config.JsonTrees;
+import gaugegw.proxy.config.ProxyConfig;
+import gaugegw.proxy.logging.RateLimitedLog;
+import gaugegw.proxy.upstream.UpstreamClient;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
--- a/src/main/java/beechfall/proxy/EndpointWatcher.java
+++ b/src/main/java/gaugegw/proxy/discovery/EndpointWatcher.java
@@ -1,9 +1,12 @@
-package beechfall.proxy;
+package gaugegw.proxy.discovery;
 
-import beechfall.BalancerSettings;
-import beechfall.DiscoveryBackoff;
-import beechfall.UpdateKind;
 import com.fasterxml.jackson.databind.JsonNode;
+import gaugegw.balancer.DiscoveryBackoff;
+import gaugegw.balancer.api.BalancerSettings;
+import gaugegw.balancer.api.UpdateKind;
+import gaugegw.proxy.dispatch.RequestDispatcher;
+import gaugegw.proxy.logging.RateLimitedLog;
+import gaugegw.proxy.transport.Transport;
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
 import io.netty.util.concurrent.Promise;
@@ -17,7 +20,7 @@
  * once. When one fails the watch is over, the module is told, and it is the module that asks again, later each time. An
  * agent on the proxy's own machine is asked again without the module.
  */
-final class EndpointWatcher implements DiscoveryCall.Listener {
+public final class EndpointWatcher implements DiscoveryCall.Listener {
     /**
      * Time beyond its wait after which a call to a service has failed, in milliseconds. What it has to tell counts as told
      * 2 s after the wait (protocol page), and binds 1 s later: a call that is made anew may fail once within that.
@@ -31,7 +34,7 @@
     /** Delay between a failed call to an agent and the next, in milliseconds. */
     private static final long AGENT_RETRY_DELAY_MS = 50;
     /** {@link #SERVICE_TIMEOUT_MS} for the first call of a process: the code that it runs is yet to be loaded. */
-    static final long FIRST_SERVICE_TIMEOUT_MS = 2_000;
+    public static final long FIRST_SERVICE_TIMEOUT_MS = 2_000;
     /** {@link #AGENT_TIMEOUT_MS} for the first call of a process. */
     private static final long FIRST_AGENT_TIMEOUT_MS = 600;
 
@@ -62,7 +65,7 @@
 
     private long version = EndpointList.NO_VERSION;
 
-    EndpointWatcher(
+    public EndpointWatcher(
             Transport transport,
             RateLimitedLog log,
             RequestDispatcher proxy,
@@ -86,17 +89,17 @@
     }
 
     /** Ends when a first call has: until then the list is as old as the last life of this proxy. */
-    Future<Void> firstCallEnded() {
+    public Future<Void> firstCallEnded() {
         return firstCallEnded;
     }
 
     /** Returns whether there is an agent, which answers at once; what it has counts as told before it is asked. */
-    boolean pushed() {
+    public boolean pushed() {
         return pushed;
     }
 
     /** Takes in the list that this proxy had in its last life, if any; the module begins with this. */
-    void loadCachedEndpoints(JsonNode list) {
+    public void loadCachedEndpoints(JsonNode list) {
         EndpointList cached = EndpointList.cached(list, log);
         version = cached.version();
         proxy.endpointsUpdated(UpdateKind.CACHED, cached.endpoints());
@@ -106,7 +109,7 @@
     }
 
     /** Begins the watch, or ends it. One that goes on already is left alone. */
-    void watch(boolean on) {
+    public void watch(boolean on) {
         watching = on;
         if (!on) {
             cancelCall();
@@ -119,7 +122,7 @@
      * Asks at another address from now on. The backends that are known stay until it has told its own list: the whole
      * of it, as its versions need not count what those of the old address did.
      */
-    void moveTo(InetSocketAddress to) {
+    public void moveTo(InetSocketAddress to) {
         if (to.equals(address)) {
             return;
         }
@@ -133,7 +136,7 @@
     }
 
     /** Asks for the whole list. A watch goes on from there: two calls at once could tell old news after new. */
-    void fetch() {
+    public void fetch() {
         cancelCall();
         version = EndpointList.NO_VERSION;
         callAtOnce();
--- a/src/main/java/beechfall/proxy/RequestDispatcher.java
+++ b/src/main/java/gaugegw/proxy/dispatch/RequestDispatcher.java
@@ -1,12 +1,16 @@
-package beechfall.proxy;
-
-import beechfall.Action;
-import beechfall.AttemptOutcome;
-import beechfall.BalancerSettings;
-import beechfall.Event;
-import beechfall.Limits;
-import beechfall.LoadBalancer;
-import beechfall.UpdateKind;
+package gaugegw.proxy.dispatch;
+
+import gaugegw.balancer.api.Action;
+import gaugegw.balancer.api.AttemptOutcome;
+import gaugegw.balancer.api.BalancerSettings;
+import gaugegw.balancer.api.Event;
+import gaugegw.balancer.api.Limits;
+import gaugegw.balancer.api.LoadBalancer;
+import gaugegw.balancer.api.UpdateKind;
+import gaugegw.proxy.discovery.EndpointWatcher;
+import gaugegw.proxy.logging.RateLimitedLog;
+import gaugegw.proxy.transport.Clock;
+import gaugegw.proxy.upstream.UpstreamClient;
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
 import java.util.ArrayDeque;
@@ -22,9 +26,9 @@
  * Stands between the module and the sockets: hands the module its events, one at a time, and carries out its actions.
  * It decides nothing. All of it runs on the one event loop.
  */
-final class RequestDispatcher {
+public final class RequestDispatcher {
     /** The client's side of a request. Exactly one of the last three is called, once. */
-    interface ResponseSink {
+    public interface ResponseSink {
         /**
          * Reads what the client has sent, unless that was done a moment ago: its close may lie unread while the loop is
          * busy. Where the client has left, {@link RequestDispatcher#clientDisconnected} is called before this returns.
@@ -42,7 +46,7 @@
      * A client's request. {@code deadlineUs} is on the proxy's clock: the last moment at which an answer can leave and
      * still be there before the client gives up.
      */
-    record ClientRequest(
+    public record ClientRequest(
             String id,
             String requestClass,
             String tenant,
@@ -84,7 +88,7 @@
     private boolean handling;
     private boolean terminating;
 
-    RequestDispatcher(
+    public RequestDispatcher(
             Clock clock,
             EventLoop loop,
             RateLimitedLog log,
@@ -99,22 +103,22 @@
         this.backends = backends;
     }
 
-    void discovery(EndpointWatcher calls) {
+    public void discovery(EndpointWatcher calls) {
         discovery = calls;
     }
 
     /** Returns the number of requests that still want an answer or have attempts out. */
-    int openRequests() {
+    public int openRequests() {
         return requests.size();
     }
 
-    boolean isServing(String id) {
+    public boolean isServing(String id) {
         return requests.containsKey(id);
     }
 
     // Events
 
-    void requestArrived(ClientRequest incoming, ResponseSink reply) {
+    public void requestArrived(ClientRequest incoming, ResponseSink reply) {
         long now = clock.now();
         if (terminating) {
             reply.rejected(0);
@@ -138,7 +142,7 @@
     }
 
     /** The client has closed its connection before it had an answer. */
-    void clientDisconnected(String id) {
+    public void clientDisconnected(String id) {
         DispatchedRequest r = requests.get(id);
         if (r != null && !r.answered) {
             markAnswered(r);
@@ -167,13 +171,13 @@
     }
 
     /** The process is about to end: whatever still waits, or comes, is answered now, or it would be lost. */
-    void failAll() {
+    public void failAll() {
         terminating = true;
         List.copyOf(requests.values()).forEach(this::answerOverdue);
     }
 
     /** Discovery's news, or {@link UpdateKind#POLL_FAILED} where a call has brought none. */
-    void endpointsUpdated(UpdateKind kind, List<UpstreamClient.ListedEndpoint> listed) {
+    public void endpointsUpdated(UpdateKind kind, List<UpstreamClient.ListedEndpoint> listed) {
         List<UpstreamClient.UpstreamAttempt> unsent =
                 kind == UpdateKind.POLL_FAILED ? List.of() : backends.update(kind, listed);
         deliver(new Event.EndpointUpdate(
--- a/src/main/java/beechfall/proxy/Framing.java
+++ b/src/main/java/gaugegw/proxy/http/Framing.java
@@ -1,4 +1,4 @@
-package beechfall.proxy;
+package gaugegw.proxy.http;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
@@ -11,11 +11,11 @@
  * Where a message ends, as both sides of a proxy must agree on it. What Netty's decoders mend or let pass is a failure
  * here: a guess may hide a request in the body of another, or give a client what no backend meant.
  */
-final class Framing {
+public final class Framing {
     private Framing() {}
 
     /** Decodes what clients send. */
-    static final class StrictRequestDecoder extends HttpRequestDecoder {
+    public static final class StrictRequestDecoder extends HttpRequestDecoder {
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
             throw twoLengths();
@@ -29,7 +29,7 @@
     }
 
     /** Decodes what a backend sends, and counts it. */
-    static final class StrictResponseDecoder extends HttpResponseDecoder {
+    public static final class StrictResponseDecoder extends HttpResponseDecoder {
         private long bytes;
 
         @Override
@@ -39,16 +39,16 @@
         }
 
         /** Returns the bytes that have come since the count began. */
-        long bytes() {
+        public long bytes() {
             return bytes;
         }
 
-        void countAfresh() {
+        public void countAfresh() {
             bytes = 0;
         }
 
         /** Returns whether bytes have come that belong to no message so far. */
-        boolean holdsMore() {
+        public boolean holdsMore() {
             return actualReadableBytes() > 0;
         }
 
--- a/src/main/java/beechfall/proxy/ProtocolHeaders.java
+++ b/src/main/java/gaugegw/proxy/http/ProtocolHeaders.java
@@ -1,4 +1,4 @@
-package beechfall.proxy;
+package gaugegw.proxy.http;
 
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
@@ -7,14 +7,14 @@
 import java.util.Set;
 
 /** The protocol's header names, and what of a message's headers goes on to the next hop. */
-final class ProtocolHeaders {
-    static final String REQUEST_ID = "x-request-id";
-    static final String REQUEST_CLASS = "x-priority-class";
-    static final String TENANT = "x-tenant-id";
-    static final String TIMEOUT = "x-timeout";
-    static final String IDEMPOTENCY_KEY = "idempotency-key";
-    static final String RETRIED = "x-retried";
-    static final String NOT_PROCESSED = "x-not-processed";
+public final class ProtocolHeaders {
+    public static final String REQUEST_ID = "x-request-id";
+    public static final String REQUEST_CLASS = "x-priority-class";
+    public static final String TENANT = "x-tenant-id";
+    public static final String TIMEOUT = "x-timeout";
+    public static final String IDEMPOTENCY_KEY = "idempotency-key";
+    public static final String RETRIED = "x-retried";
+    public static final String NOT_PROCESSED = "x-not-processed";
 
     /** These concern one connection alone (RFC 9110, 7.6.1); the content length is set afresh by each sender. */
     private static final Set<String> HOP_BY_HOP = Set.of(
@@ -32,7 +32,7 @@
 
     private ProtocolHeaders() {}
 
-    static void copyEndToEnd(HttpHeaders from, HttpHeaders to) {
+    public static void copyEndToEnd(HttpHeaders from, HttpHeaders to) {
         boolean named = from.contains(HttpHeaderNames.CONNECTION);
         for (Map.Entry<String, String> header : from) {
             String name = header.getKey();
--- a/src/main/java/beechfall/proxy/GracefulShutdown.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/GracefulShutdown.java
@@ -1,6 +1,10 @@
-package beechfall.proxy;
+package gaugegw.proxy.lifecycle;
 
-import beechfall.RequestClass;
+import gaugegw.balancer.api.RequestClass;
+import gaugegw.proxy.client.Frontend;
+import gaugegw.proxy.config.ProxyConfig;
+import gaugegw.proxy.dispatch.RequestDispatcher;
+import gaugegw.proxy.logging.RateLimitedLog;
 import io.netty.channel.EventLoop;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
--- a/src/main/java/beechfall/proxy/ProxyServer.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
@@ -1,7 +1,17 @@
-package beechfall.proxy;
-
-import beechfall.EarliestDeadlineLoadBalancer;
-import beechfall.LoadBalancer;
+package gaugegw.proxy.lifecycle;
+
+import gaugegw.balancer.EarliestDeadlineLoadBalancer;
+import gaugegw.balancer.api.LoadBalancer;
+import gaugegw.proxy.client.Frontend;
+import gaugegw.proxy.config.ConfigFileWatcher;
+import gaugegw.proxy.config.ProxyConfig;
+import gaugegw.proxy.discovery.EndpointWatcher;
+import gaugegw.proxy.dispatch.RequestDispatcher;
+import gaugegw.proxy.logging.RateLimitedLog;
+import gaugegw.proxy.transport.Clock;
+import gaugegw.proxy.transport.ConnectionLimiter;
+import gaugegw.proxy.transport.Transport;
+import gaugegw.proxy.upstream.UpstreamClient;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import java.net.InetAddress;
@@ -38,11 +48,11 @@
         this(config, new EarliestDeadlineLoadBalancer(config.settings()));
     }
 
-    ProxyServer(ProxyConfig config, LoadBalancer module) {
+    public ProxyServer(ProxyConfig config, LoadBalancer module) {
         this(config, module, Transport.sockets());
     }
 
-    ProxyServer(ProxyConfig config, LoadBalancer module, Transport transport) {
+    public ProxyServer(ProxyConfig config, LoadBalancer module, Transport transport) {
         this.config = config;
         this.transport = transport;
         loop = transport.loop();
@@ -87,7 +97,7 @@
     }
 
     /** Loads what {@code serve} needs, and ends: the Java runtime keeps it in an archive for the starts to come. */
-    public static void train() {
+    public static void loadClasses() {
         try {
             ProxyConfig config = ProxyConfig.read(file());
             Warmup.run(config, TRAINING_LIMIT_MS);
@@ -158,7 +168,7 @@
      * @return the address, or empty where the process was told to end meanwhile: nobody is let in then
      * @throws ProxyConfig.InvalidConfigException if the address can't be listened on
      */
-    Optional<InetSocketAddress> start() throws ProxyConfig.InvalidConfigException {
+    public Optional<InetSocketAddress> start() throws ProxyConfig.InvalidConfigException {
         ChannelFuture bound = listen().awaitUninterruptibly();
         if (shutdown.hasBegun()) {
             bound.channel().close();
@@ -178,7 +188,7 @@
      * Reads a new configuration and applies it. Each signal comes on a thread of its own, so that reading the file holds
      * nobody up; one after the other, so that the last file counts.
      */
-    synchronized void reload(Path file) {
+    public synchronized void reload(Path file) {
         try {
             apply(ProxyConfig.read(file));
         } catch (ProxyConfig.InvalidConfigException e) {
@@ -200,22 +210,22 @@
     }
 
     /** Answers all that is taken, sends the clients elsewhere, and returns in time for the process to end. */
-    void drain() {
+    public void drain() {
         shutdown.run();
     }
 
     /** Returns the number of requests that want an answer or have attempts out. */
-    int held() {
+    public int held() {
         return proxy.openRequests();
     }
 
     /** Returns the number of clients' connections. */
-    int connected() {
+    public int connected() {
         return frontend.connected();
     }
 
     /** Ends at once, whatever is still open. */
-    void stop() {
+    public void stop() {
         loop.submit(() -> discovery.watch(false)).awaitUninterruptibly();
         loop.parent().shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     }
--- a/src/main/java/beechfall/proxy/SignalHandlers.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/SignalHandlers.java
@@ -1,4 +1,4 @@
-package beechfall.proxy;
+package gaugegw.proxy.lifecycle;
 
 import java.lang.reflect.InvocationHandler;
 import java.lang.reflect.InvocationTargetException;
--- a/src/main/java/beechfall/proxy/Warmup.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/Warmup.java
@@ -1,11 +1,16 @@
-package beechfall.proxy;
+package gaugegw.proxy.lifecycle;
 
-import beechfall.EarliestDeadlineLoadBalancer;
-import beechfall.Idempotency;
-import beechfall.RequestClass;
-import beechfall.Tenant;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import gaugegw.balancer.EarliestDeadlineLoadBalancer;
+import gaugegw.balancer.api.Idempotency;
+import gaugegw.balancer.api.RequestClass;
+import gaugegw.balancer.api.Tenant;
+import gaugegw.proxy.config.JsonTrees;
+import gaugegw.proxy.config.ProxyConfig;
+import gaugegw.proxy.http.ProtocolHeaders;
+import gaugegw.proxy.transport.Transport;
+import gaugegw.proxy.upstream.UpstreamClient;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandler;
--- a/src/main/java/beechfall/proxy/RateLimitedLog.java
+++ b/src/main/java/gaugegw/proxy/logging/RateLimitedLog.java
@@ -1,7 +1,7 @@
-package beechfall.proxy;
+package gaugegw.proxy.logging;
 
 /** Lines for the operators, on standard error. One thread uses it: the event loop, or the main thread before that. */
-final class RateLimitedLog {
+public final class RateLimitedLog {
     private static final int LINES_A_SECOND = 20;
 
     private long second = Long.MIN_VALUE;
@@ -9,7 +9,7 @@
     private int dropped;
 
     /** Writes a line; what goes wrong thousands of times a second must not take the CPU from what goes well. */
-    void line(String text) {
+    public void line(String text) {
         long now = System.nanoTime() / 1_000_000_000;
         if (now != second) {
             if (dropped > 0) {
@@ -26,7 +26,7 @@
         }
     }
 
-    void failure(String what, Throwable cause) {
+    public void failure(String what, Throwable cause) {
         StackTraceElement[] trace = cause.getStackTrace();
         line(what + ": " + cause + (trace.length > 0 ? " at " + trace[0] : ""));
     }
--- a/src/main/java/beechfall/proxy/ConnectionLimiter.java
+++ b/src/main/java/gaugegw/proxy/transport/ConnectionLimiter.java
@@ -1,4 +1,4 @@
-package beechfall.proxy;
+package gaugegw.proxy.transport;
 
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
@@ -10,7 +10,7 @@
  * with their answers and idle ones are evicted; while nothing can be evicted, no client is accepted and the others wait
  * in the listener's queue.
  */
-final class ConnectionLimiter {
+public final class ConnectionLimiter {
     /** A request that is on its way to a new connection has come by then: evicted sooner, it would fail. */
     private static final long FIRST_REQUEST_NS = TimeUnit.MILLISECONDS.toNanos(20);
 
@@ -31,18 +31,18 @@
     private Channel listener;
 
     /** Makes a limiter for a process that may hold so many descriptors; all its methods are called on the loop. */
-    ConnectionLimiter(EventLoop loop, int descriptorLimit) {
+    public ConnectionLimiter(EventLoop loop, int descriptorLimit) {
         this.loop = loop;
         budget = DescriptorBudget.of(descriptorLimit);
     }
 
     /** Sets the listening channel, which accepts only while there is room for all that it may accept in one turn. */
-    void listener(Channel channel) {
+    public void listener(Channel channel) {
         listener = channel;
     }
 
     /** Counts a client's connection from its acceptance up to its close. */
-    void clientOpened(Channel channel) {
+    public void clientOpened(Channel channel) {
         clients++;
         silentClients.add(channel);
         channel.closeFuture().addListener(f -> {
@@ -55,13 +55,13 @@
     }
 
     /** A client's connection holds a request, and is not evicted. */
-    void clientBusy(Channel channel) {
+    public void clientBusy(Channel channel) {
         silentClients.remove(channel);
         idleClients.remove(channel);
     }
 
     /** A client's connection holds no request, and may be evicted. */
-    void clientIdle(Channel channel) {
+    public void clientIdle(Channel channel) {
         clientBusy(channel);
         if (channel.isOpen()) {
             idleClients.add(channel);
@@ -73,12 +73,12 @@
      * Returns whether clients' connections are to be closed with their answers, as they run short: a close with an
      * answer, unlike an eviction, never crosses the client's next request.
      */
-    boolean nearClientLimit() {
+    public boolean nearClientLimit() {
         return clients > budget.clients() * 3 / 4;
     }
 
     /** Returns whether one more connection to a backend may be opened; evicts an idle connection where that helps. */
-    boolean admitsBackend() {
+    public boolean admitsBackend() {
         // The descriptor of an evicted connection is still held while the new one is opened.
         return open() < budget.most()
                 && (Math.min(clients, budget.clients()) + backends < budget.connections()
@@ -87,7 +87,7 @@
     }
 
     /** Counts a connection to a backend from before its connect up to its close. */
-    void backendOpened(Channel channel) {
+    public void backendOpened(Channel channel) {
         backends++;
         channel.closeFuture().addListener(f -> {
             backends--;
@@ -98,12 +98,12 @@
     }
 
     /** A connection to a backend carries an attempt, and is not evicted. */
-    void backendBusy(Channel channel) {
+    public void backendBusy(Channel channel) {
         idleBackends.remove(channel);
     }
 
     /** A connection to a backend carries no attempt, and may be evicted. */
-    void backendIdle(Channel channel) {
+    public void backendIdle(Channel channel) {
         backendBusy(channel);
         if (channel.isOpen()) {
             idleBackends.add(channel);
--- a/src/main/java/beechfall/proxy/DescriptorBudget.java
+++ b/src/main/java/gaugegw/proxy/transport/DescriptorBudget.java
@@ -1,4 +1,4 @@
-package beechfall.proxy;
+package gaugegw.proxy.transport;
 
 /**
  * How the descriptors that a process may hold are shared out.
@@ -7,7 +7,7 @@
  * @param clients the clients' part of these
  * @param most connections that may ever be open at once, those accepted in a single turn of the loop included
  */
-record DescriptorBudget(int connections, int clients, int most) {
+public record DescriptorBudget(int connections, int clients, int most) {
     /**
      * What an idle process holds, ten or eleven as measured from {@code /proc/PID/fd}: three standard streams, the
      * runtime's module file and the jar, two sources of random numbers, the selector's epoll and event descriptors, the
@@ -29,7 +29,7 @@
     private static final int ENVIRONMENT = 8;
 
     /** Shares out a limit, which the configuration states as {@code limits.sockets}. */
-    static DescriptorBudget of(int limit) {
+    public static DescriptorBudget of(int limit) {
         int most = limit - RUNTIME - DISCOVERY - ENVIRONMENT;
         int connections = most - Transport.ACCEPTED_AT_ONCE;
         // A request needs a connection on either side: clients alone can't use up what their requests need.
--- a/src/main/java/beechfall/proxy/EvictionQueue.java
+++ b/src/main/java/gaugegw/proxy/transport/EvictionQueue.java
@@ -1,4 +1,4 @@
-package beechfall.proxy;
+package gaugegw.proxy.transport;
 
 import io.netty.channel.Channel;
 import java.util.Iterator;
--- a/src/main/java/beechfall/proxy/Transport.java
+++ b/src/main/java/gaugegw/proxy/transport/Transport.java
@@ -1,4 +1,4 @@
-package beechfall.proxy;
+package gaugegw.proxy.transport;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -33,7 +33,7 @@
  * channels inside the process. The bootstraps are templates, to be cloned. {@code silent} tells of a connection on which
  * nothing is expected whether nothing has come, no end either, that the loop is yet to read.
  */
-record Transport(
+public record Transport(
         EventLoop loop,
         ServerBootstrap server,
         Bootstrap client,
@@ -45,7 +45,7 @@
 
     private static final int READS_AT_ONCE = 16;
 
-    static Transport sockets() {
+    public static Transport sockets() {
         loadLogging();
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         ServerBootstrap server = new ServerBootstrap()
@@ -83,7 +83,7 @@
         new SimpleFormatter().format(new LogRecord(Level.WARNING, ""));
     }
 
-    static Transport inProcess() {
+    public static Transport inProcess() {
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, LocalIoHandler.newFactory()).next();
         // Such addresses are the whole process's: each transport has its own.
         String world = UUID.randomUUID().toString();
@@ -100,13 +100,13 @@
      * this returns, but for {@code channelInactive}, which follows as a task. Channels inside the process are left alone.
      * Not to be called while the channel is being read.
      */
-    static void readNow(Channel channel) {
+    public static void readNow(Channel channel) {
         if (channel.unsafe() instanceof AbstractNioChannel.NioUnsafe unsafe) {
             unsafe.read();
         }
     }
 
-    SocketAddress address(InetSocketAddress address) {
+    public SocketAddress address(InetSocketAddress address) {
         return addresses.apply(address);
     }
 }
--- a/src/main/java/beechfall/proxy/LearnedIdleLimit.java
+++ b/src/main/java/gaugegw/proxy/upstream/LearnedIdleLimit.java
@@ -1,4 +1,4 @@
-package beechfall.proxy;
+package gaugegw.proxy.upstream;
 
 /**
  * How long a connection to a backend may have stood idle and still be worth a request. Whatever the settings say, what
--- a/src/main/java/beechfall/proxy/UpstreamClient.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
@@ -1,9 +1,14 @@
-package beechfall.proxy;
-
-import beechfall.AttemptOutcome;
-import beechfall.Endpoint;
-import beechfall.EndpointState;
-import beechfall.UpdateKind;
+package gaugegw.proxy.upstream;
+
+import gaugegw.balancer.api.AttemptOutcome;
+import gaugegw.balancer.api.Endpoint;
+import gaugegw.balancer.api.EndpointState;
+import gaugegw.balancer.api.UpdateKind;
+import gaugegw.proxy.http.Framing;
+import gaugegw.proxy.http.ProtocolHeaders;
+import gaugegw.proxy.transport.Clock;
+import gaugegw.proxy.transport.ConnectionLimiter;
+import gaugegw.proxy.transport.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -47,8 +52,8 @@
  * The connections to the backends, and what becomes of the attempts sent over them. A connection carries one attempt
  * at a time. Nothing is ever sent again from here: each attempt is one that the module has asked for.
  */
-final class UpstreamClient {
-    static final int MAX_BODY = 64 * 1024;
+public final class UpstreamClient {
+    public static final int MAX_BODY = 64 * 1024;
 
     /** An answer with its head, its padding and what comes ahead of it is never longer than this. */
     private static final long MOST_BYTES = 2 * MAX_BODY;
@@ -58,16 +63,16 @@
     private static final long SETTLE_US = 10_000;
 
     /** What goes to a backend; it is the same for each attempt, but for the time left. */
-    record UpstreamRequest(HttpMethod method, String uri, HttpHeaders headers, ByteBuf body) {}
+    public record UpstreamRequest(HttpMethod method, String uri, HttpHeaders headers, ByteBuf body) {}
 
     /** A backend's 200. The body is the receiver's to release. */
-    record UpstreamResponse(HttpHeaders headers, ByteBuf body) {}
+    public record UpstreamResponse(HttpHeaders headers, ByteBuf body) {}
 
     /** A line of the list, and where this proxy finds that backend. */
-    record ListedEndpoint(Endpoint endpoint, InetSocketAddress address) {}
+    public record ListedEndpoint(Endpoint endpoint, InetSocketAddress address) {}
 
     /** Hears the one end of an attempt; {@code answer} is there for {@link AttemptOutcome#SUCCESS} alone. */
-    interface AttemptListener {
+    public interface AttemptListener {
         void ended(AttemptOutcome outcome, long latencyUs, UpstreamResponse answer);
     }
 
@@ -80,7 +85,7 @@
     private final LearnedIdleLimit idleLimit = new LearnedIdleLimit();
     private final Map<String, UpstreamEndpoint> targets = new HashMap<>();
 
-    UpstreamClient(
+    public UpstreamClient(
             Clock clock, Transport transport, ConnectionLimiter limiter, long connIdleUs, long connectTimeoutUs) {
         this.clock = clock;
         this.loop = transport.loop();
@@ -93,7 +98,7 @@
     }
 
     /** Returns whether there is a backend to send to. */
-    boolean anyReady() {
+    public boolean anyReady() {
         return targets.values().stream().anyMatch(t -> t.ready);
     }
 
@@ -102,7 +107,7 @@
      *
      * @return the attempts that are to be stopped, as no byte of theirs has gone to a backend that wants nothing new
      */
-    List<UpstreamAttempt> update(UpdateKind kind, List<ListedEndpoint> listed) {
+    public List<UpstreamAttempt> update(UpdateKind kind, List<ListedEndpoint> listed) {
         var unsent = new ArrayList<UpstreamAttempt>();
         var named = new HashSet<String>();
         for (ListedEndpoint l : listed) {
@@ -132,7 +137,7 @@
     }
 
     /** Closes the idle connections to a backend. */
-    void closeIdleConnections(String id) {
+    public void closeIdleConnections(String id) {
         UpstreamEndpoint target = targets.get(id);
         if (target != null) {
             target.pool.closeIdle();
@@ -144,7 +149,7 @@
      *
      * @param beforeWrite runs once the attempt has its connection, right before the request is written; it may abort it
      */
-    UpstreamAttempt newAttempt(
+    public UpstreamAttempt newAttempt(
             String id, UpstreamRequest outgoing, long timeoutUs, Runnable beforeWrite, AttemptListener end) {
         UpstreamEndpoint target = targets.get(id);
         if (target == null || !target.ready || (!target.pool.hasUsable() && !limiter.admitsBackend())) {
@@ -278,7 +283,7 @@
     }
 
     /** One attempt, from the wish for a connection to its end. */
-    final class UpstreamAttempt {
+    public final class UpstreamAttempt {
         private final UpstreamEndpoint target;
         private final UpstreamRequest outgoing;
         private final long timeoutUs;
@@ -304,7 +309,7 @@
             this.end = end;
         }
 
-        void start() {
+        public void start() {
             startedAt = clock.now();
             target.out.add(this);
             // Before its last byte is written it has not run for certain; after that it may, even if nothing comes.
@@ -318,7 +323,7 @@
         }
 
         /** Returns whether its last byte has been written: only then may it have run. */
-        boolean written() {
+        public boolean written() {
             return written;
         }
 
@@ -363,7 +368,7 @@
         }
 
         /** Ends the attempt from this side. Its connection is closed first: no other attempt goes out beside it. */
-        void abort(AttemptOutcome outcome) {
+        public void abort(AttemptOutcome outcome) {
             if (ended) {
                 return;
             }
--- a/src/main/java/beechfall/wire/SettingsReader.java
+++ b/src/main/java/gaugegw/settings/SettingsReader.java
@@ -1,12 +1,12 @@
-package beechfall.wire;
+package gaugegw.settings;
 
-import beechfall.BalancerSettings;
-import beechfall.DeduplicationScope;
-import beechfall.Idempotency;
-import beechfall.Limits;
-import beechfall.RequestClass;
-import beechfall.SafetyLimits;
-import beechfall.Tenant;
+import gaugegw.balancer.api.BalancerSettings;
+import gaugegw.balancer.api.DeduplicationScope;
+import gaugegw.balancer.api.Idempotency;
+import gaugegw.balancer.api.Limits;
+import gaugegw.balancer.api.RequestClass;
+import gaugegw.balancer.api.SafetyLimits;
+import gaugegw.balancer.api.Tenant;
 import java.util.ArrayList;
 import java.util.Map;
 
--- a/src/main/java/beechfall/wire/MalformedMessageException.java
+++ b/src/main/java/gaugegw/simulator/MalformedMessageException.java
@@ -1,4 +1,4 @@
-package beechfall.wire;
+package gaugegw.simulator;
 
 /** Input that is not a legal message of the wire; the message says what is wrong with it. */
 final class MalformedMessageException extends RuntimeException {
--- a/src/main/java/beechfall/wire/MessageCodec.java
+++ b/src/main/java/gaugegw/simulator/MessageCodec.java
@@ -1,13 +1,13 @@
-package beechfall.wire;
+package gaugegw.simulator;
 
-import beechfall.Action;
-import beechfall.AttemptOutcome;
-import beechfall.BalancerSettings;
-import beechfall.Endpoint;
-import beechfall.EndpointState;
-import beechfall.Event;
-import beechfall.LoadBalancer;
-import beechfall.UpdateKind;
+import gaugegw.balancer.api.Action;
+import gaugegw.balancer.api.AttemptOutcome;
+import gaugegw.balancer.api.BalancerSettings;
+import gaugegw.balancer.api.Endpoint;
+import gaugegw.balancer.api.EndpointState;
+import gaugegw.balancer.api.Event;
+import gaugegw.balancer.api.UpdateKind;
+import gaugegw.settings.SettingsReader;
 import java.util.HashMap;
 import java.util.Map;
 
--- a/src/main/java/beechfall/wire/MessageFields.java
+++ b/src/main/java/gaugegw/simulator/MessageFields.java
@@ -1,4 +1,4 @@
-package beechfall.wire;
+package gaugegw.simulator;
 
 /** One line of the wire: a name and its name=value pairs, reused from line to line. */
 final class MessageFields {
--- a/src/main/java/beechfall/wire/SimulatorHost.java
+++ b/src/main/java/gaugegw/simulator/SimulatorHost.java
@@ -1,12 +1,12 @@
-package beechfall.wire;
+package gaugegw.simulator;
 
-import beechfall.Action;
-import beechfall.BalancerSettings;
-import beechfall.EarliestDeadlineLoadBalancer;
-import beechfall.Endpoint;
-import beechfall.Event;
-import beechfall.LoadBalancer;
-import beechfall.UpdateKind;
+import gaugegw.balancer.EarliestDeadlineLoadBalancer;
+import gaugegw.balancer.api.Action;
+import gaugegw.balancer.api.BalancerSettings;
+import gaugegw.balancer.api.Endpoint;
+import gaugegw.balancer.api.Event;
+import gaugegw.balancer.api.LoadBalancer;
+import gaugegw.balancer.api.UpdateKind;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/test/java/beechfall/AdmissionControlTest.java
+++ b/src/test/java/gaugegw/balancer/AdmissionControlTest.java
@@ -1,16 +1,26 @@
-package beechfall;
-
-import static beechfall.LoadBalancerDriver.LIMITS;
-import static beechfall.LoadBalancerDriver.MS;
-import static beechfall.LoadBalancerDriver.PAY;
-import static beechfall.LoadBalancerDriver.READ;
-import static beechfall.LoadBalancerDriver.RULES;
-import static beechfall.LoadBalancerDriver.backend;
+package gaugegw.balancer;
+
+import static gaugegw.balancer.LoadBalancerDriver.LIMITS;
+import static gaugegw.balancer.LoadBalancerDriver.MS;
+import static gaugegw.balancer.LoadBalancerDriver.PAY;
+import static gaugegw.balancer.LoadBalancerDriver.READ;
+import static gaugegw.balancer.LoadBalancerDriver.RULES;
+import static gaugegw.balancer.LoadBalancerDriver.backend;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Action.Fail;
-import beechfall.Action.Reject;
-import beechfall.Action.StartAttempt;
+import gaugegw.balancer.api.Action;
+import gaugegw.balancer.api.Action.Fail;
+import gaugegw.balancer.api.Action.Reject;
+import gaugegw.balancer.api.Action.StartAttempt;
+import gaugegw.balancer.api.AttemptOutcome;
+import gaugegw.balancer.api.BalancerSettings;
+import gaugegw.balancer.api.Endpoint;
+import gaugegw.balancer.api.EndpointState;
+import gaugegw.balancer.api.Event;
+import gaugegw.balancer.api.Limits;
+import gaugegw.balancer.api.RequestClass;
+import gaugegw.balancer.api.Tenant;
+import gaugegw.balancer.api.UpdateKind;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.IntStream;
--- a/src/test/java/beechfall/EndpointChurnTest.java
+++ b/src/test/java/gaugegw/balancer/EndpointChurnTest.java
@@ -1,13 +1,16 @@
-package beechfall;
+package gaugegw.balancer;
 
-import static beechfall.LoadBalancerDriver.READ;
-import static beechfall.LoadBalancerDriver.S;
-import static beechfall.LoadBalancerDriver.backend;
-import static beechfall.LoadBalancerDriver.in;
-import static beechfall.LoadBalancerDriver.started;
+import static gaugegw.balancer.LoadBalancerDriver.READ;
+import static gaugegw.balancer.LoadBalancerDriver.S;
+import static gaugegw.balancer.LoadBalancerDriver.backend;
+import static gaugegw.balancer.LoadBalancerDriver.in;
+import static gaugegw.balancer.LoadBalancerDriver.started;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Event.EndpointUpdate;
+import gaugegw.balancer.api.AttemptOutcome;
+import gaugegw.balancer.api.EndpointState;
+import gaugegw.balancer.api.Event.EndpointUpdate;
+import gaugegw.balancer.api.UpdateKind;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/beechfall/EndpointSelectionTest.java
+++ b/src/test/java/gaugegw/balancer/EndpointSelectionTest.java
@@ -1,12 +1,17 @@
-package beechfall;
+package gaugegw.balancer;
 
-import static beechfall.LoadBalancerDriver.MS;
-import static beechfall.LoadBalancerDriver.READ;
-import static beechfall.LoadBalancerDriver.S;
-import static beechfall.LoadBalancerDriver.VOTE;
-import static beechfall.LoadBalancerDriver.backend;
+import static gaugegw.balancer.LoadBalancerDriver.MS;
+import static gaugegw.balancer.LoadBalancerDriver.READ;
+import static gaugegw.balancer.LoadBalancerDriver.S;
+import static gaugegw.balancer.LoadBalancerDriver.VOTE;
+import static gaugegw.balancer.LoadBalancerDriver.backend;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import gaugegw.balancer.api.AttemptOutcome;
+import gaugegw.balancer.api.BalancerSettings;
+import gaugegw.balancer.api.Endpoint;
+import gaugegw.balancer.api.EndpointState;
+import gaugegw.balancer.api.Event;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/test/java/beechfall/LoadBalancerApiTest.java
+++ b/src/test/java/gaugegw/balancer/LoadBalancerApiTest.java
@@ -1,8 +1,20 @@
-package beechfall;
+package gaugegw.balancer;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import gaugegw.balancer.api.Action;
+import gaugegw.balancer.api.AttemptOutcome;
+import gaugegw.balancer.api.BalancerSettings;
+import gaugegw.balancer.api.DeduplicationScope;
+import gaugegw.balancer.api.Endpoint;
+import gaugegw.balancer.api.EndpointState;
+import gaugegw.balancer.api.Event;
+import gaugegw.balancer.api.Idempotency;
+import gaugegw.balancer.api.Limits;
+import gaugegw.balancer.api.RequestClass;
+import gaugegw.balancer.api.SafetyLimits;
+import gaugegw.balancer.api.UpdateKind;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/beechfall/LoadBalancerDriver.java
+++ b/src/test/java/gaugegw/balancer/LoadBalancerDriver.java
@@ -1,11 +1,24 @@
-package beechfall;
-
-import beechfall.Action.SetTimer;
-import beechfall.Action.StartAttempt;
-import beechfall.Event.AttemptEnded;
-import beechfall.Event.EndpointUpdate;
-import beechfall.Event.RequestArrived;
-import beechfall.Event.TimerFired;
+package gaugegw.balancer;
+
+import gaugegw.balancer.api.Action;
+import gaugegw.balancer.api.Action.SetTimer;
+import gaugegw.balancer.api.Action.StartAttempt;
+import gaugegw.balancer.api.AttemptOutcome;
+import gaugegw.balancer.api.BalancerSettings;
+import gaugegw.balancer.api.DeduplicationScope;
+import gaugegw.balancer.api.Endpoint;
+import gaugegw.balancer.api.EndpointState;
+import gaugegw.balancer.api.Event;
+import gaugegw.balancer.api.Event.AttemptEnded;
+import gaugegw.balancer.api.Event.EndpointUpdate;
+import gaugegw.balancer.api.Event.RequestArrived;
+import gaugegw.balancer.api.Event.TimerFired;
+import gaugegw.balancer.api.Idempotency;
+import gaugegw.balancer.api.Limits;
+import gaugegw.balancer.api.RequestClass;
+import gaugegw.balancer.api.SafetyLimits;
+import gaugegw.balancer.api.Tenant;
+import gaugegw.balancer.api.UpdateKind;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
--- a/src/test/java/beechfall/SlowStartFleetTest.java
+++ b/src/test/java/gaugegw/balancer/SlowStartFleetTest.java
@@ -1,17 +1,25 @@
-package beechfall;
+package gaugegw.balancer;
 
-import static beechfall.LoadBalancerDriver.LIMITS;
-import static beechfall.LoadBalancerDriver.MS;
-import static beechfall.LoadBalancerDriver.READ;
-import static beechfall.LoadBalancerDriver.S;
+import static gaugegw.balancer.LoadBalancerDriver.LIMITS;
+import static gaugegw.balancer.LoadBalancerDriver.MS;
+import static gaugegw.balancer.LoadBalancerDriver.READ;
+import static gaugegw.balancer.LoadBalancerDriver.S;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Action.SetTimer;
-import beechfall.Action.StartAttempt;
-import beechfall.Event.AttemptEnded;
-import beechfall.Event.EndpointUpdate;
-import beechfall.Event.RequestArrived;
-import beechfall.Event.TimerFired;
+import gaugegw.balancer.api.Action;
+import gaugegw.balancer.api.Action.SetTimer;
+import gaugegw.balancer.api.Action.StartAttempt;
+import gaugegw.balancer.api.AttemptOutcome;
+import gaugegw.balancer.api.BalancerSettings;
+import gaugegw.balancer.api.Endpoint;
+import gaugegw.balancer.api.EndpointState;
+import gaugegw.balancer.api.Event;
+import gaugegw.balancer.api.Event.AttemptEnded;
+import gaugegw.balancer.api.Event.EndpointUpdate;
+import gaugegw.balancer.api.Event.RequestArrived;
+import gaugegw.balancer.api.Event.TimerFired;
+import gaugegw.balancer.api.SafetyLimits;
+import gaugegw.balancer.api.UpdateKind;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
--- a/src/test/java/beechfall/proxy/ClientDisconnectTest.java
+++ b/src/test/java/gaugegw/proxy/client/ClientDisconnectTest.java
@@ -1,12 +1,16 @@
-package beechfall.proxy;
+package gaugegw.proxy.client;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Action.StartAttempt;
-import beechfall.AttemptOutcome;
-import beechfall.Event.AttemptEnded;
-import beechfall.Event.ClientDisconnected;
-import beechfall.Event.RequestArrived;
+import gaugegw.balancer.api.Action.StartAttempt;
+import gaugegw.balancer.api.AttemptOutcome;
+import gaugegw.balancer.api.Event.AttemptEnded;
+import gaugegw.balancer.api.Event.ClientDisconnected;
+import gaugegw.balancer.api.Event.RequestArrived;
+import gaugegw.proxy.testing.FullBacklog;
+import gaugegw.proxy.testing.ProxyFixture;
+import gaugegw.proxy.testing.RawConnection;
+import gaugegw.proxy.testing.ScriptedServer;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/beechfall/proxy/FrontendTest.java
+++ b/src/test/java/gaugegw/proxy/client/FrontendTest.java
@@ -1,11 +1,14 @@
-package beechfall.proxy;
+package gaugegw.proxy.client;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Action.Fail;
-import beechfall.Action.Reject;
-import beechfall.Event.ClientDisconnected;
-import beechfall.Event.RequestArrived;
+import gaugegw.balancer.api.Action.Fail;
+import gaugegw.balancer.api.Action.Reject;
+import gaugegw.balancer.api.Event.ClientDisconnected;
+import gaugegw.balancer.api.Event.RequestArrived;
+import gaugegw.proxy.testing.ProxyFixture;
+import gaugegw.proxy.testing.RawConnection;
+import gaugegw.proxy.testing.ScriptedServer;
 import java.io.IOException;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
--- a/src/test/java/beechfall/proxy/ConfigFileWatcherTest.java
+++ b/src/test/java/gaugegw/proxy/config/ConfigFileWatcherTest.java
@@ -1,7 +1,8 @@
-package beechfall.proxy;
+package gaugegw.proxy.config;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import gaugegw.proxy.testing.ProxyFixture;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.attribute.FileTime;
--- a/src/test/java/beechfall/proxy/JsonTreesTest.java
+++ b/src/test/java/gaugegw/proxy/config/JsonTreesTest.java
@@ -1,10 +1,11 @@
-package beechfall.proxy;
+package gaugegw.proxy.config;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
+import gaugegw.proxy.testing.ProxyFixture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
--- a/src/test/java/beechfall/proxy/ProxyConfigTest.java
+++ b/src/test/java/gaugegw/proxy/config/ProxyConfigTest.java
@@ -1,12 +1,13 @@
-package beechfall.proxy;
+package gaugegw.proxy.config;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import beechfall.Idempotency;
-import beechfall.RequestClass;
-import beechfall.Tenant;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import gaugegw.balancer.api.Idempotency;
+import gaugegw.balancer.api.RequestClass;
+import gaugegw.balancer.api.Tenant;
+import gaugegw.proxy.testing.ProxyFixture;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/beechfall/proxy/EndpointWatcherTest.java
+++ b/src/test/java/gaugegw/proxy/discovery/EndpointWatcherTest.java
@@ -1,17 +1,23 @@
-package beechfall.proxy;
+package gaugegw.proxy.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Action.FetchEndpoints;
-import beechfall.Action.Reject;
-import beechfall.Action.SetTimer;
-import beechfall.Action.WatchEndpoints;
-import beechfall.Endpoint;
-import beechfall.EndpointState;
-import beechfall.Event;
-import beechfall.Event.EndpointUpdate;
-import beechfall.Event.RequestArrived;
-import beechfall.UpdateKind;
+import gaugegw.balancer.api.Action.FetchEndpoints;
+import gaugegw.balancer.api.Action.Reject;
+import gaugegw.balancer.api.Action.SetTimer;
+import gaugegw.balancer.api.Action.WatchEndpoints;
+import gaugegw.balancer.api.Endpoint;
+import gaugegw.balancer.api.EndpointState;
+import gaugegw.balancer.api.Event;
+import gaugegw.balancer.api.Event.EndpointUpdate;
+import gaugegw.balancer.api.Event.RequestArrived;
+import gaugegw.balancer.api.UpdateKind;
+import gaugegw.proxy.config.ProxyConfig;
+import gaugegw.proxy.lifecycle.ProxyServer;
+import gaugegw.proxy.testing.ProxyFixture;
+import gaugegw.proxy.testing.RawConnection;
+import gaugegw.proxy.testing.ScriptedServer;
+import gaugegw.proxy.transport.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
@@ -413,11 +419,12 @@
 
     @Test
     void fetchesTheWholeListOnce() throws Exception {
-        try (var proxy = new ProxyFixture((Event event, java.util.function.Consumer<beechfall.Action> actions) -> {
-            if (event instanceof EndpointUpdate m && m.kind() == UpdateKind.CACHED) {
-                actions.accept(new FetchEndpoints());
-            }
-        })) {
+        try (var proxy =
+                new ProxyFixture((Event event, java.util.function.Consumer<gaugegw.balancer.api.Action> actions) -> {
+                    if (event instanceof EndpointUpdate m && m.kind() == UpdateKind.CACHED) {
+                        actions.accept(new FetchEndpoints());
+                    }
+                })) {
             proxy.next(EndpointUpdate.class);
             RawConnection call = proxy.discovery.accept();
             assertThat(call.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
--- a/src/test/java/beechfall/proxy/RequestDispatcherTest.java
+++ b/src/test/java/gaugegw/proxy/dispatch/RequestDispatcherTest.java
@@ -1,15 +1,18 @@
-package beechfall.proxy;
+package gaugegw.proxy.dispatch;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Action.CancelAttempt;
-import beechfall.Action.SetTimer;
-import beechfall.Action.StartAttempt;
-import beechfall.AttemptOutcome;
-import beechfall.Event.AttemptEnded;
-import beechfall.Event.ClientDisconnected;
-import beechfall.Event.RequestArrived;
-import beechfall.Event.TimerFired;
+import gaugegw.balancer.api.Action.CancelAttempt;
+import gaugegw.balancer.api.Action.SetTimer;
+import gaugegw.balancer.api.Action.StartAttempt;
+import gaugegw.balancer.api.AttemptOutcome;
+import gaugegw.balancer.api.Event.AttemptEnded;
+import gaugegw.balancer.api.Event.ClientDisconnected;
+import gaugegw.balancer.api.Event.RequestArrived;
+import gaugegw.balancer.api.Event.TimerFired;
+import gaugegw.proxy.testing.ProxyFixture;
+import gaugegw.proxy.testing.RawConnection;
+import gaugegw.proxy.testing.ScriptedServer;
 import org.junit.jupiter.api.Test;
 
 /** What the proxy does round the module, whatever the module does. */
--- a/src/test/java/beechfall/proxy/SimultaneousEventsTest.java
+++ b/src/test/java/gaugegw/proxy/dispatch/SimultaneousEventsTest.java
@@ -1,13 +1,16 @@
-package beechfall.proxy;
+package gaugegw.proxy.dispatch;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Action.StartAttempt;
-import beechfall.AttemptOutcome;
-import beechfall.Event.AttemptEnded;
-import beechfall.Event.EndpointUpdate;
-import beechfall.Event.RequestArrived;
-import beechfall.UpdateKind;
+import gaugegw.balancer.api.Action.StartAttempt;
+import gaugegw.balancer.api.AttemptOutcome;
+import gaugegw.balancer.api.Event.AttemptEnded;
+import gaugegw.balancer.api.Event.EndpointUpdate;
+import gaugegw.balancer.api.Event.RequestArrived;
+import gaugegw.balancer.api.UpdateKind;
+import gaugegw.proxy.testing.ProxyFixture;
+import gaugegw.proxy.testing.RawConnection;
+import gaugegw.proxy.testing.ScriptedServer;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/beechfall/proxy/ProxyServerTest.java
+++ b/src/test/java/gaugegw/proxy/lifecycle/ProxyServerTest.java
@@ -1,10 +1,17 @@
-package beechfall.proxy;
+package gaugegw.proxy.lifecycle;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Action.Reject;
-import beechfall.Event.AttemptEnded;
-import beechfall.Event.RequestArrived;
+import gaugegw.balancer.api.Action.Reject;
+import gaugegw.balancer.api.Event.AttemptEnded;
+import gaugegw.balancer.api.Event.RequestArrived;
+import gaugegw.proxy.config.ProxyConfig;
+import gaugegw.proxy.discovery.EndpointWatcher;
+import gaugegw.proxy.testing.ProxyFixture;
+import gaugegw.proxy.testing.RawConnection;
+import gaugegw.proxy.testing.ScriptedServer;
+import gaugegw.proxy.transport.DescriptorBudget;
+import gaugegw.proxy.upstream.UpstreamClient;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/beechfall/proxy/SignalHandlersTest.java
+++ b/src/test/java/gaugegw/proxy/lifecycle/SignalHandlersTest.java
@@ -1,7 +1,12 @@
-package beechfall.proxy;
+package gaugegw.proxy.lifecycle;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import gaugegw.proxy.config.ProxyConfig;
+import gaugegw.proxy.testing.ProxyFixture;
+import gaugegw.proxy.testing.ProxyProcess;
+import gaugegw.proxy.testing.RawConnection;
+import gaugegw.proxy.testing.ScriptedServer;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
--- a/src/test/java/beechfall/proxy/WarmupTest.java
+++ b/src/test/java/gaugegw/proxy/lifecycle/WarmupTest.java
@@ -1,7 +1,9 @@
-package beechfall.proxy;
+package gaugegw.proxy.lifecycle;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import gaugegw.proxy.config.ProxyConfig;
+import gaugegw.proxy.testing.ProxyFixture;
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadInfo;
 import java.lang.management.ThreadMXBean;
--- a/src/test/java/beechfall/proxy/FullBacklog.java
+++ b/src/test/java/gaugegw/proxy/testing/FullBacklog.java
@@ -1,4 +1,4 @@
-package beechfall.proxy;
+package gaugegw.proxy.testing;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -10,11 +10,11 @@
 import java.util.List;
 
 /** A listener that accepts nothing, and whose queue is full: whoever connects to it waits. */
-final class FullBacklog implements Closeable {
+public final class FullBacklog implements Closeable {
     private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     private final List<Socket> crowd = new ArrayList<>();
 
-    FullBacklog() throws IOException {
+    public FullBacklog() throws IOException {
         while (true) {
             var socket = new Socket();
             try {
@@ -27,12 +27,12 @@
         }
     }
 
-    String address() {
+    public String address() {
         return "127.0.0.1:" + server.getLocalPort();
     }
 
     /** Makes room, and returns the connection of whoever has waited: it comes up as its SYN is sent again. */
-    RawConnection admit() throws IOException {
+    public RawConnection admit() throws IOException {
         server.setSoTimeout(10_000);
         for (int i = 0; i < crowd.size(); i++) {
             server.accept().close();
--- a/src/test/java/beechfall/proxy/ProxyFixture.java
+++ b/src/test/java/gaugegw/proxy/testing/ProxyFixture.java
@@ -1,12 +1,15 @@
-package beechfall.proxy;
+package gaugegw.proxy.testing;
 
-import beechfall.Action;
-import beechfall.BalancerSettings;
-import beechfall.EarliestDeadlineLoadBalancer;
-import beechfall.Event;
-import beechfall.LoadBalancer;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import gaugegw.balancer.EarliestDeadlineLoadBalancer;
+import gaugegw.balancer.api.Action;
+import gaugegw.balancer.api.BalancerSettings;
+import gaugegw.balancer.api.Event;
+import gaugegw.balancer.api.LoadBalancer;
+import gaugegw.proxy.config.JsonTrees;
+import gaugegw.proxy.config.ProxyConfig;
+import gaugegw.proxy.lifecycle.ProxyServer;
 import java.io.ByteArrayInputStream;
 import java.io.Closeable;
 import java.io.IOException;
@@ -21,7 +24,7 @@
 import java.util.function.UnaryOperator;
 
 /** A proxy on loopback, with a module that does as the test says and keeps what it was told. */
-final class ProxyFixture implements Closeable {
+public final class ProxyFixture implements Closeable {
     private static final String CONFIG = """
             {"name":"n0","listen":"127.0.0.1:0","discovery":"%s","seed":"92094eb940cf389a",
              "limits":{"cores":1.0,"memory_mb":192,"sockets":%d},
@@ -40,46 +43,46 @@
               "projects":[{"name":"acme","allowance_per_s":100}]}}
             """;
 
-    final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
-    final BlockingQueue<Action.StartAttempt> sends = new LinkedBlockingQueue<>();
-    final ScriptedServer discovery = new ScriptedServer();
+    public final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
+    public final BlockingQueue<Action.StartAttempt> sends = new LinkedBlockingQueue<>();
+    public final ScriptedServer discovery = new ScriptedServer();
     private final ProxyServer serve;
-    final InetSocketAddress address;
+    public final InetSocketAddress address;
 
     /** Settings under which nothing that a test waits for runs out of time: only what it does itself brings an end. */
-    static final UnaryOperator<String> PATIENT =
+    public static final UnaryOperator<String> PATIENT =
             config -> config.replaceAll("(aim|deadline|window)_us\":\\d+", "$1_us\":60000000")
                     .replace("connect_timeout_us\":200000", "connect_timeout_us\":60000000");
 
     /** Does as the module would: gets the events, and says what is to be done. */
-    interface Module {
+    public interface Module {
         void handle(Event event, Consumer<Action> actions);
     }
 
-    ProxyFixture(Module module, ScriptedServer... backends) throws Exception {
+    public ProxyFixture(Module module, ScriptedServer... backends) throws Exception {
         this(module, 1_024, 15_000_000, backends);
     }
 
-    ProxyFixture(Module module, int sockets, long idleUs, ScriptedServer... backends) throws Exception {
+    public ProxyFixture(Module module, int sockets, long idleUs, ScriptedServer... backends) throws Exception {
         this(settings -> (now, event, actions) -> module.handle(event, actions), sockets, idleUs, c -> c, backends);
     }
 
     /** A proxy whose configuration is another; see {@link #PATIENT}. */
-    ProxyFixture(Module module, UnaryOperator<String> edit, ScriptedServer... backends) throws Exception {
+    public ProxyFixture(Module module, UnaryOperator<String> edit, ScriptedServer... backends) throws Exception {
         this(settings -> (now, event, actions) -> module.handle(event, actions), 1_024, 15_000_000, edit, backends);
     }
 
     /** A proxy with the module that it has in service. */
-    static ProxyFixture inService(ScriptedServer... backends) throws Exception {
+    public static ProxyFixture inService(ScriptedServer... backends) throws Exception {
         return inService(c -> c, backends);
     }
 
-    static ProxyFixture inService(UnaryOperator<String> edit, ScriptedServer... backends) throws Exception {
+    public static ProxyFixture inService(UnaryOperator<String> edit, ScriptedServer... backends) throws Exception {
         return new ProxyFixture(EarliestDeadlineLoadBalancer::new, 1_024, 15_000_000, edit, backends);
     }
 
     /** A proxy with the module that it has in service, under a limit of descriptors. */
-    static ProxyFixture inService(int sockets, ScriptedServer... backends) throws Exception {
+    public static ProxyFixture inService(int sockets, ScriptedServer... backends) throws Exception {
         return new ProxyFixture(EarliestDeadlineLoadBalancer::new, sockets, 15_000_000, c -> c, backends);
     }
 
@@ -109,20 +112,20 @@
         address = serve.start().orElseThrow();
     }
 
-    static JsonNode json(String text) throws IOException {
+    public static JsonNode json(String text) throws IOException {
         return JsonTrees.read(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)));
     }
 
-    static ObjectNode config() throws IOException {
+    public static ObjectNode config() throws IOException {
         return (ObjectNode) json(config("127.0.0.1:1"));
     }
 
-    static String config(String discovery) {
+    public static String config(String discovery) {
         return CONFIG.formatted(discovery, 1_024, "", 15_000_000);
     }
 
     /** What SIGHUP does. */
-    void reload(String json) throws IOException {
+    public void reload(String json) throws IOException {
         Path file = Files.createTempFile("config", ".json");
         try {
             Files.writeString(file, json);
@@ -132,21 +135,21 @@
         }
     }
 
-    static String entry(String id, String address, String state) {
+    public static String entry(String id, String address, String state) {
         return "{\"id\":\"%s\",\"addr\":\"%s\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":1,\"state\":\"%s\",\"weight\":1.0,\"started_ms\":7}"
                 .formatted(id, address, state);
     }
 
-    static String list(long version, boolean full, String... entries) {
+    public static String list(long version, boolean full, String... entries) {
         return "{\"version\":%d,\"full\":%b,\"servers\":[%s]}".formatted(version, full, String.join(",", entries));
     }
 
     /** A module that sends every request to a backend, and fails it when that goes wrong. */
-    static Module sendTo(String backend) {
+    public static Module sendTo(String backend) {
         return sendTo(backend, 0);
     }
 
-    static Module sendTo(String backend, long timeoutUs) {
+    public static Module sendTo(String backend, long timeoutUs) {
         return (event, actions) -> {
             if (event instanceof Event.RequestArrived a) {
                 actions.accept(new Action.StartAttempt(a.requestId(), backend, timeoutUs));
@@ -157,7 +160,7 @@
     }
 
     /** As {@link #sendTo}, by the list that discovery tells; see {@link #list}. */
-    static Module watching(String backend) {
+    public static Module watching(String backend) {
         var asked = new boolean[1];
         return (event, actions) -> {
             if (!asked[0]) {
@@ -169,7 +172,7 @@
     }
 
     /** Answers the first call of the watch with a change, and waits for the next. */
-    RawConnection list(String... entries) throws IOException {
+    public RawConnection list(String... entries) throws IOException {
         RawConnection watch = discovery.accept();
         watch.read();
         watch.send(ScriptedServer.ok(list(42, false, entries)));
@@ -179,35 +182,35 @@
     }
 
     /** A client's request, as the protocol has it. */
-    static String get(String id) {
+    public static String get(String id) {
         return "GET /api?k=u1 HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: " + id
                 + "\r\nX-Priority-Class: read\r\nX-Tenant-Id: acme\r\nX-Timeout: 1900m\r\n\r\n";
     }
 
     /** A request whose client waits for longer than any test. */
-    static String patient(String id) {
+    public static String patient(String id) {
         return get(id).replace("1900m", "60000m");
     }
 
-    static String post(String id, String body) {
+    public static String post(String id, String body) {
         return "POST /api?k=u%201&x HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: " + id
                 + "\r\nX-Priority-Class: pay\r\nX-Tenant-Id: acme\r\nX-Timeout: 1900m\r\nIdempotency-Key: 5c0f"
                 + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    RawConnection client() throws IOException {
+    public RawConnection client() throws IOException {
         return RawConnection.to(address);
     }
 
     /** Waits until the proxy has handled all that came to it before. */
-    void settle() throws IOException {
+    public void settle() throws IOException {
         try (RawConnection asker = client()) {
             asker.send("GET /ready HTTP/1.1\r\n\r\n").read();
         }
     }
 
     /** Waits for the next event of a type. */
-    <T extends Event> T next(Class<T> type) throws InterruptedException {
+    public <T extends Event> T next(Class<T> type) throws InterruptedException {
         while (true) {
             Event event = ScriptedServer.next(events);
             if (type.isInstance(event)) {
@@ -217,16 +220,16 @@
     }
 
     /** Returns the number of requests that want an answer or have attempts out. */
-    int held() {
+    public int held() {
         return serve.held();
     }
 
     /** Returns the number of clients' connections. */
-    int connected() {
+    public int connected() {
         return serve.connected();
     }
 
-    void drain() {
+    public void drain() {
         serve.drain();
     }
 
--- a/src/test/java/beechfall/proxy/ProxyProcess.java
+++ b/src/test/java/gaugegw/proxy/testing/ProxyProcess.java
@@ -1,4 +1,4 @@
-package beechfall.proxy;
+package gaugegw.proxy.testing;
 
 import java.io.BufferedReader;
 import java.io.Closeable;
@@ -15,11 +15,11 @@
 import java.util.stream.Stream;
 
 /** The program as the {@code run} command of {@code deploy/balancer.toml} starts it, with the classes under test. */
-final class ProxyProcess implements Closeable {
+public final class ProxyProcess implements Closeable {
     private static final String LISTENING = "listening on ";
     private static final String CLASS_PATH = classPath();
     /** In service all classes are in one jar; here each jar of the class path takes a descriptor. */
-    static final int FURTHER_JARS = (int) jars(Arrays.stream(CLASS_PATH.split(File.pathSeparator, -1))) - 1;
+    public static final int FURTHER_JARS = (int) jars(Arrays.stream(CLASS_PATH.split(File.pathSeparator, -1))) - 1;
 
     private final Process process;
     private final List<String> log = new CopyOnWriteArrayList<>();
@@ -34,14 +34,14 @@
      *
      * @param shell runs first, in the shell that becomes the program
      */
-    static ProxyProcess start(Path config, String shell) throws IOException {
+    public static ProxyProcess start(Path config, String shell) throws IOException {
         String run = Files.readAllLines(Path.of("deploy", "balancer.toml")).stream()
                 .filter(line -> line.startsWith("run = "))
                 .findFirst()
                 .orElseThrow()
                 .replaceAll("^run = \"|\"$", "")
                 .replace("exec java", "exec '" + Path.of(System.getProperty("java.home"), "bin", "java") + "'")
-                .replace("-jar target/beechfall.jar", "-cp \"$TEST_CLASS_PATH\" beechfall.Main");
+                .replace("-jar target/gaugegw.jar", "-cp \"$TEST_CLASS_PATH\" gaugegw.Main");
         var command = new ProcessBuilder("env", "--default-signal=HUP,INT,TERM", "/bin/sh", "-c", shell + run)
                 .redirectErrorStream(true);
         command.environment().put("TEST_CLASS_PATH", CLASS_PATH);
@@ -50,7 +50,7 @@
     }
 
     /** Starts the program with a limit of descriptors that the kernel enforces. */
-    static ProxyProcess start(Path config, int descriptors) throws IOException {
+    public static ProxyProcess start(Path config, int descriptors) throws IOException {
         return start(config, "ulimit -n " + descriptors + "; ");
     }
 
@@ -63,17 +63,17 @@
     }
 
     /** Waits until a line of the log holds a text. */
-    void awaitLog(String text) throws InterruptedException {
+    public void awaitLog(String text) throws InterruptedException {
         ScriptedServer.until(() -> logs(text));
     }
 
     /** Returns whether a line of the log holds a text. */
-    boolean logs(String text) {
+    public boolean logs(String text) {
         return log.stream().anyMatch(line -> line.contains(text));
     }
 
     /** Waits until it says where it listens. */
-    int port() throws InterruptedException {
+    public int port() throws InterruptedException {
         awaitLog(LISTENING);
         String line =
                 log.stream().filter(l -> l.contains(LISTENING)).findFirst().orElseThrow();
@@ -81,7 +81,7 @@
     }
 
     /** Returns the number of descriptors that it holds. */
-    int descriptors() {
+    public int descriptors() {
         String[] open = new File("/proc/" + process.pid() + "/fd").list();
         if (open == null) {
             throw new AssertionError("the process has ended");
@@ -90,20 +90,20 @@
     }
 
     /** Returns the number of jars that it holds open. */
-    long jars() throws IOException {
+    public long jars() throws IOException {
         try (Stream<Path> open = Files.list(Path.of("/proc/" + process.pid() + "/fd"))) {
             return jars(open.map(ProxyProcess::target));
         }
     }
 
-    void signal(String name) throws IOException, InterruptedException {
+    public void signal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
                 .inheritIO()
                 .start()
                 .waitFor();
     }
 
-    int awaitExit() throws InterruptedException {
+    public int awaitExit() throws InterruptedException {
         ScriptedServer.until(() -> !process.isAlive());
         return process.exitValue();
     }
--- a/src/test/java/beechfall/proxy/RawConnection.java
+++ b/src/test/java/gaugegw/proxy/testing/RawConnection.java
@@ -1,4 +1,4 @@
-package beechfall.proxy;
+package gaugegw.proxy.testing;
 
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
@@ -14,10 +14,10 @@
 import java.util.Queue;
 
 /** One end of a connection, read and written byte by byte: tests see just what is sent, and when it ends. */
-final class RawConnection implements Closeable {
+public final class RawConnection implements Closeable {
     private static final int PATIENCE_MS = 10_000;
 
-    final Socket socket;
+    public final Socket socket;
     private final InputStream in;
 
     RawConnection(Socket socket) throws IOException {
@@ -27,21 +27,21 @@
         in = new BufferedInputStream(socket.getInputStream());
     }
 
-    static RawConnection to(InetSocketAddress address) throws IOException {
+    public static RawConnection to(InetSocketAddress address) throws IOException {
         return to(address.getPort());
     }
 
-    static RawConnection to(int port) throws IOException {
+    public static RawConnection to(int port) throws IOException {
         return new RawConnection(new Socket(InetAddress.getLoopbackAddress(), port));
     }
 
-    RawConnection send(String text) throws IOException {
+    public RawConnection send(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         return this;
     }
 
     /** Reads one message: its first line, its headers and its body; null if the connection ends before one begins. */
-    Message read() throws IOException {
+    public Message read() throws IOException {
         String first = line();
         if (first == null) {
             return null;
@@ -62,7 +62,7 @@
     }
 
     /** Answers every request that comes here from now on, on a thread of its own, and keeps the requests. */
-    void always(String answer, Queue<Message> seen) {
+    public void always(String answer, Queue<Message> seen) {
         ScriptedServer.background(() -> {
             for (Message m = read(); m != null; m = read()) {
                 seen.add(m);
@@ -72,7 +72,7 @@
     }
 
     /** Waits until the other side has ended the connection; returns whether it did so without sending anything. */
-    boolean ended() throws IOException {
+    public boolean ended() throws IOException {
         try {
             return in.read() < 0;
         } catch (java.net.SocketTimeoutException e) {
@@ -82,8 +82,8 @@
         }
     }
 
-    /** As {@link #attemptEnded}, where what this side sent may have crossed the close. */
-    boolean endedQuietly() throws IOException {
+    /** As {@link #ended}, where what this side sent may have crossed the close. */
+    public boolean endedQuietly() throws IOException {
         try {
             while (in.read() >= 0) {
                 // the rest of what was sent
@@ -112,12 +112,12 @@
         socket.close();
     }
 
-    record Message(String first, String headers, String body) {
-        int status() {
+    public record Message(String first, String headers, String body) {
+        public int status() {
             return Integer.parseInt(first.split(" ", -1)[1]);
         }
 
-        String header(String name) {
+        public String header(String name) {
             return Arrays.stream(headers.split("\n"))
                     .filter(l -> l.regionMatches(true, 0, name + ":", 0, name.length() + 1))
                     .map(l -> l.substring(name.length() + 1).trim())
--- a/src/test/java/beechfall/proxy/ScriptedServer.java
+++ b/src/test/java/gaugegw/proxy/testing/ScriptedServer.java
@@ -1,4 +1,4 @@
-package beechfall.proxy;
+package gaugegw.proxy.testing;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -14,20 +14,20 @@
 import java.util.function.BooleanSupplier;
 
 /** A backend, or discovery, played by hand: the test accepts its connections and says what goes over them. */
-final class ScriptedServer implements Closeable {
+public final class ScriptedServer implements Closeable {
     private final ServerSocket server;
     private final List<RawConnection> open = new ArrayList<>();
 
-    ScriptedServer() throws IOException {
+    public ScriptedServer() throws IOException {
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         server.setSoTimeout(10_000);
     }
 
-    String address() {
+    public String address() {
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    RawConnection accept() throws IOException {
+    public RawConnection accept() throws IOException {
         var wire = new RawConnection(server.accept());
         synchronized (open) {
             open.add(wire);
@@ -36,7 +36,7 @@
     }
 
     /** Has a client send a request, and returns the new connection over which the request has come here whole. */
-    RawConnection attemptFor(RawConnection client, String requestId) throws IOException {
+    public RawConnection attemptFor(RawConnection client, String requestId) throws IOException {
         client.send(ProxyFixture.get(requestId));
         RawConnection attempt = accept();
         attempt.read();
@@ -44,7 +44,7 @@
     }
 
     /** Answers every request in the same way from now on, on threads of its own; returns the requests as they come. */
-    BlockingQueue<RawConnection.Message> always(String answer) {
+    public BlockingQueue<RawConnection.Message> always(String answer) {
         var seen = new LinkedBlockingQueue<RawConnection.Message>();
         background(() -> {
             while (true) {
@@ -54,16 +54,16 @@
         return seen;
     }
 
-    static String ok(String body) {
+    public static String ok(String body) {
         return answer("200 OK", body);
     }
 
-    static String answer(String status, String body, String... headers) {
+    public static String answer(String status, String body, String... headers) {
         return "HTTP/1.1 " + status + "\r\n" + (headers.length == 0 ? "" : String.join("\r\n", headers) + "\r\n")
                 + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
+    public static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
         T next = queue.poll(10, TimeUnit.SECONDS);
         if (next == null) {
             throw new AssertionError("nothing came");
@@ -72,7 +72,7 @@
     }
 
     /** Waits until something holds that no message tells of. */
-    static void until(BooleanSupplier holds) throws InterruptedException {
+    public static void until(BooleanSupplier holds) throws InterruptedException {
         long from = System.nanoTime();
         while (!holds.getAsBoolean()) {
             if (System.nanoTime() - from > 10_000_000_000L) {
@@ -83,7 +83,7 @@
     }
 
     /** Stands still, on the proxy's thread. */
-    static void await(CountDownLatch latch) {
+    public static void await(CountDownLatch latch) {
         try {
             latch.await();
         } catch (InterruptedException e) {
@@ -91,11 +91,11 @@
         }
     }
 
-    interface Work {
+    public interface Work {
         void run() throws IOException;
     }
 
-    static void background(Work work) {
+    public static void background(Work work) {
         var thread = new Thread(() -> {
             try {
                 work.run();
@@ -107,7 +107,7 @@
         thread.start();
     }
 
-    int port() {
+    public int port() {
         return ((InetSocketAddress) server.getLocalSocketAddress()).getPort();
     }
 
--- a/src/test/java/beechfall/proxy/DescriptorReserveTest.java
+++ b/src/test/java/gaugegw/proxy/transport/DescriptorReserveTest.java
@@ -1,11 +1,15 @@
-package beechfall.proxy;
+package gaugegw.proxy.transport;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Action.Reject;
-import beechfall.AttemptOutcome;
-import beechfall.Event.AttemptEnded;
-import beechfall.Event.RequestArrived;
+import gaugegw.balancer.api.Action.Reject;
+import gaugegw.balancer.api.AttemptOutcome;
+import gaugegw.balancer.api.Event.AttemptEnded;
+import gaugegw.balancer.api.Event.RequestArrived;
+import gaugegw.proxy.testing.ProxyFixture;
+import gaugegw.proxy.testing.ProxyProcess;
+import gaugegw.proxy.testing.RawConnection;
+import gaugegw.proxy.testing.ScriptedServer;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/beechfall/proxy/LearnedIdleLimitTest.java
+++ b/src/test/java/gaugegw/proxy/upstream/LearnedIdleLimitTest.java
@@ -1,4 +1,4 @@
-package beechfall.proxy;
+package gaugegw.proxy.upstream;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/beechfall/wire/SimulatorHostTest.java
+++ b/src/test/java/gaugegw/simulator/SimulatorHostTest.java
@@ -1,20 +1,20 @@
-package beechfall.wire;
+package gaugegw.simulator;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import beechfall.Action;
-import beechfall.AttemptOutcome;
-import beechfall.BalancerSettings;
-import beechfall.DeduplicationScope;
-import beechfall.Endpoint;
-import beechfall.EndpointState;
-import beechfall.Event;
-import beechfall.Idempotency;
-import beechfall.Limits;
-import beechfall.RequestClass;
-import beechfall.SafetyLimits;
-import beechfall.Tenant;
-import beechfall.UpdateKind;
+import gaugegw.balancer.api.Action;
+import gaugegw.balancer.api.AttemptOutcome;
+import gaugegw.balancer.api.BalancerSettings;
+import gaugegw.balancer.api.DeduplicationScope;
+import gaugegw.balancer.api.Endpoint;
+import gaugegw.balancer.api.EndpointState;
+import gaugegw.balancer.api.Event;
+import gaugegw.balancer.api.Idempotency;
+import gaugegw.balancer.api.Limits;
+import gaugegw.balancer.api.RequestClass;
+import gaugegw.balancer.api.SafetyLimits;
+import gaugegw.balancer.api.Tenant;
+import gaugegw.balancer.api.UpdateKind;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -186,7 +186,7 @@
     void aFailureOfTheModulePanicsThatInstanceAndSaysWhere() throws IOException {
         assertThat(run(batch(UP, "deadline_hit who=3 ctx=boom\n"))).isZero();
         assertThat(written())
-                .startsWith("panic who=3 message=java.lang.IllegalStateException: out of order at beechfall")
+                .startsWith("panic who=3 message=java.lang.IllegalStateException: out of order at gaugegw")
                 .endsWith("\nok\n")
                 .contains("HostTest.java:");
     }
