--- a/src/main/java/gaugegw/proxy/client/ClientExchange.java
+++ b/src/main/java/gaugegw/proxy/client/ClientExchange.java
@@ -1,9 +1,11 @@
 package gaugegw.proxy.client;
 
 import gaugegw.balancer.api.Idempotency;
-import gaugegw.proxy.dispatch.RequestDispatcher;
+import gaugegw.proxy.dispatch.ClientRequest;
+import gaugegw.proxy.dispatch.ResponseSink;
 import gaugegw.proxy.http.ProtocolHeaders;
-import gaugegw.proxy.upstream.UpstreamClient;
+import gaugegw.proxy.upstream.UpstreamRequest;
+import gaugegw.proxy.upstream.UpstreamResponse;
 import io.netty.channel.ChannelFuture;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
 import io.netty.handler.codec.http.FullHttpRequest;
@@ -21,7 +23,7 @@
 import java.util.regex.Pattern;
 
 /** A request and its one answer. */
-final class ClientExchange implements RequestDispatcher.ResponseSink {
+final class ClientExchange implements ResponseSink {
     private static final Pattern TIMEOUT = Pattern.compile("(\\d{1,8})([mu])");
     /** An answer is on its way for a moment, and the proxy may be late by a few milliseconds. */
     private static final long ON_ITS_WAY_US = 8_000;
@@ -47,7 +49,7 @@
             rejected(0);
             return;
         }
-        RequestDispatcher.ClientRequest incoming;
+        ClientRequest incoming;
         try {
             var uri = new QueryStringDecoder(request.uri());
             if (uri.rawPath().equals("/ready")) {
@@ -75,7 +77,7 @@
         connection.rejected(answer);
     }
 
-    private RequestDispatcher.ClientRequest incoming(QueryStringDecoder uri) throws Rejected {
+    private ClientRequest incoming(QueryStringDecoder uri) throws Rejected {
         if (!uri.rawPath().equals("/api") && !uri.rawPath().startsWith("/api/")) {
             throw new Rejected(HttpResponseStatus.NOT_FOUND, "no such path");
         }
@@ -106,14 +108,14 @@
         List<String> keys = uri.parameters().get("k");
         long patienceUs = patienceUs(header(headers, ProtocolHeaders.TIMEOUT));
         long deadline = firstByteAt + patienceUs - Math.min(ON_ITS_WAY_US, patienceUs / 10);
-        return new RequestDispatcher.ClientRequest(
+        return new ClientRequest(
                 requestId,
                 requestClass,
                 tenant,
                 keys == null ? null : keys.get(0),
                 "1".equals(headers.get(ProtocolHeaders.RETRIED)),
                 deadline,
-                new UpstreamClient.UpstreamRequest(request.method(), request.uri(), headers, request.content()));
+                new UpstreamRequest(request.method(), request.uri(), headers, request.content()));
     }
 
     private static String header(HttpHeaders headers, String name) throws Rejected {
@@ -140,7 +142,7 @@
     }
 
     @Override
-    public void served(UpstreamClient.UpstreamResponse served) {
+    public void served(UpstreamResponse served) {
         var answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, served.body());
         ProtocolHeaders.copyEndToEnd(served.headers(), answer.headers());
         HttpUtil.setContentLength(answer, served.body().readableBytes());
--- a/src/main/java/gaugegw/proxy/client/RequestAggregator.java
+++ b/src/main/java/gaugegw/proxy/client/RequestAggregator.java
@@ -1,6 +1,6 @@
 package gaugegw.proxy.client;
 
-import gaugegw.proxy.upstream.UpstreamClient;
+import gaugegw.proxy.http.HttpLimits;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelPipeline;
 import io.netty.handler.codec.http.FullHttpResponse;
@@ -23,7 +23,7 @@
     private final ClientConnection connection;
 
     RequestAggregator(ClientConnection connection) {
-        super(UpstreamClient.MAX_BODY);
+        super(HttpLimits.MAX_BODY_BYTES);
         this.connection = connection;
     }
 
--- a/src/main/java/gaugegw/proxy/discovery/EndpointList.java
+++ b/src/main/java/gaugegw/proxy/discovery/EndpointList.java
@@ -6,7 +6,6 @@
 import gaugegw.proxy.config.JsonTrees;
 import gaugegw.proxy.config.ProxyConfig;
 import gaugegw.proxy.logging.RateLimitedLog;
-import gaugegw.proxy.upstream.UpstreamClient;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
@@ -21,7 +20,7 @@
  * @param full whether it names all backends, or only those that have changed
  * @param endpoints the entries that can be read, in their order
  */
-record EndpointList(long version, boolean full, List<UpstreamClient.ListedEndpoint> endpoints) {
+record EndpointList(long version, boolean full, List<ListedEndpoint> endpoints) {
     /** Stands for a list that this proxy does not have. */
     static final long NO_VERSION = -1;
 
@@ -71,10 +70,10 @@
         return new EndpointList(known.path("version").asLong(NO_VERSION), true, endpoints(known.path("servers"), log));
     }
 
-    private static List<UpstreamClient.ListedEndpoint> endpoints(JsonNode entries, RateLimitedLog log) {
-        var endpoints = new ArrayList<UpstreamClient.ListedEndpoint>(entries.size());
+    private static List<ListedEndpoint> endpoints(JsonNode entries, RateLimitedLog log) {
+        var endpoints = new ArrayList<ListedEndpoint>(entries.size());
         for (JsonNode entry : entries) {
-            UpstreamClient.ListedEndpoint endpoint = endpoint(entry);
+            ListedEndpoint endpoint = endpoint(entry);
             if (endpoint == null) {
                 log.line("discovery: a malformed entry is left out: " + shortened(entry.toString()));
             } else {
@@ -88,7 +87,7 @@
         return text.length() <= LOGGED_CHARACTERS ? text : text.substring(0, LOGGED_CHARACTERS) + "...";
     }
 
-    private static UpstreamClient.ListedEndpoint endpoint(JsonNode entry) {
+    private static ListedEndpoint endpoint(JsonNode entry) {
         EndpointState state = STATES.get(entry.path("state").asText());
         InetSocketAddress address = ProxyConfig.address(entry.path("addr").asText());
         String id = entry.path("id").asText();
@@ -96,7 +95,7 @@
         if (state == null || address == null || id.isEmpty() || !(weight > 0) || Double.isInfinite(weight)) {
             return null;
         }
-        return new UpstreamClient.ListedEndpoint(
+        return new ListedEndpoint(
                 new Endpoint(
                         id,
                         state,
--- a/src/main/java/gaugegw/proxy/discovery/EndpointWatcher.java
+++ b/src/main/java/gaugegw/proxy/discovery/EndpointWatcher.java
@@ -4,7 +4,6 @@
 import gaugegw.balancer.DiscoveryBackoff;
 import gaugegw.balancer.api.BalancerSettings;
 import gaugegw.balancer.api.UpdateKind;
-import gaugegw.proxy.dispatch.RequestDispatcher;
 import gaugegw.proxy.logging.RateLimitedLog;
 import gaugegw.proxy.transport.Transport;
 import io.netty.channel.EventLoop;
@@ -50,7 +49,7 @@
     private final EventLoop loop;
     private final Transport transport;
     private final RateLimitedLog log;
-    private final RequestDispatcher proxy;
+    private final EndpointUpdateListener updateListener;
     private final boolean pushed;
     private final long holdMs;
     private final long firstTimeoutMs;
@@ -68,14 +67,14 @@
     public EndpointWatcher(
             Transport transport,
             RateLimitedLog log,
-            RequestDispatcher proxy,
+            EndpointUpdateListener updateListener,
             InetSocketAddress address,
             BalancerSettings settings) {
         this.loop = transport.loop();
         this.firstCallEnded = loop.newPromise();
         this.transport = transport;
         this.log = log;
-        this.proxy = proxy;
+        this.updateListener = updateListener;
         this.address = address;
         this.random = new SplittableRandom(settings.seed());
         this.pushed = !settings.limits().endpointsArePolled();
@@ -102,7 +101,7 @@
     public void loadCachedEndpoints(JsonNode list) {
         EndpointList cached = EndpointList.cached(list, log);
         version = cached.version();
-        proxy.endpointsUpdated(UpdateKind.CACHED, cached.endpoints());
+        updateListener.endpointsUpdated(UpdateKind.CACHED, cached.endpoints());
         if (pushed) {
             watch(true);
         }
@@ -180,7 +179,7 @@
             // One that answers at once without any news would be asked as fast as the CPU allows.
             loop.schedule(() -> continueWatch(answered), NO_NEWS_DELAY_MS, TimeUnit.MILLISECONDS);
         }
-        proxy.endpointsUpdated(list.full() ? UpdateKind.SNAPSHOT : UpdateKind.DELTA, list.endpoints());
+        updateListener.endpointsUpdated(list.full() ? UpdateKind.SNAPSHOT : UpdateKind.DELTA, list.endpoints());
         firstCallEnded.trySuccess(null);
     }
 
@@ -200,7 +199,7 @@
         if (pushed) {
             loop.schedule(this::retryAgent, AGENT_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         } else {
-            proxy.endpointsUpdated(UpdateKind.POLL_FAILED, List.of());
+            updateListener.endpointsUpdated(UpdateKind.POLL_FAILED, List.of());
         }
     }
 
--- a/src/main/java/gaugegw/proxy/dispatch/RequestDispatcher.java
+++ b/src/main/java/gaugegw/proxy/dispatch/RequestDispatcher.java
@@ -7,10 +7,13 @@
 import gaugegw.balancer.api.Limits;
 import gaugegw.balancer.api.LoadBalancer;
 import gaugegw.balancer.api.UpdateKind;
+import gaugegw.proxy.discovery.EndpointUpdateListener;
 import gaugegw.proxy.discovery.EndpointWatcher;
+import gaugegw.proxy.discovery.ListedEndpoint;
 import gaugegw.proxy.logging.RateLimitedLog;
 import gaugegw.proxy.transport.Clock;
 import gaugegw.proxy.upstream.UpstreamClient;
+import gaugegw.proxy.upstream.UpstreamResponse;
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
 import java.util.ArrayDeque;
@@ -26,35 +29,7 @@
  * Stands between the module and the sockets: hands the module its events, one at a time, and carries out its actions.
  * It decides nothing. All of it runs on the one event loop.
  */
-public final class RequestDispatcher {
-    /** The client's side of a request. Exactly one of the last three is called, once. */
-    public interface ResponseSink {
-        /**
-         * Reads what the client has sent, unless that was done a moment ago: its close may lie unread while the loop is
-         * busy. Where the client has left, {@link RequestDispatcher#clientDisconnected} is called before this returns.
-         */
-        void pollClient();
-
-        void served(UpstreamClient.UpstreamResponse answer);
-
-        void rejected(long retryAfterUs);
-
-        void failed();
-    }
-
-    /**
-     * A client's request. {@code deadlineUs} is on the proxy's clock: the last moment at which an answer can leave and
-     * still be there before the client gives up.
-     */
-    public record ClientRequest(
-            String id,
-            String requestClass,
-            String tenant,
-            String key,
-            boolean retry,
-            long deadlineUs,
-            UpstreamClient.UpstreamRequest upstreamRequest) {}
-
+public final class RequestDispatcher implements EndpointUpdateListener {
     /** A request and its attempts, kept until it is answered and no attempt is out. */
     private static final class DispatchedRequest {
         private final ClientRequest clientRequest;
@@ -177,12 +152,12 @@
     }
 
     /** Discovery's news, or {@link UpdateKind#POLL_FAILED} where a call has brought none. */
-    public void endpointsUpdated(UpdateKind kind, List<UpstreamClient.ListedEndpoint> listed) {
+    @Override
+    public void endpointsUpdated(UpdateKind kind, List<ListedEndpoint> listed) {
         List<UpstreamClient.UpstreamAttempt> unsent =
                 kind == UpdateKind.POLL_FAILED ? List.of() : backends.update(kind, listed);
         deliver(new Event.EndpointUpdate(
-                kind,
-                listed.stream().map(UpstreamClient.ListedEndpoint::endpoint).toList()));
+                kind, listed.stream().map(ListedEndpoint::endpoint).toList()));
         // The module has heard why by now, and sends them elsewhere.
         unsent.forEach(a -> a.abort(AttemptOutcome.NOT_SENT));
     }
@@ -193,7 +168,7 @@
             String backend,
             AttemptOutcome outcome,
             long latencyUs,
-            UpstreamClient.UpstreamResponse answer) {
+            UpstreamResponse answer) {
         r.attemptsInFlight--;
         if (outcome == AttemptOutcome.SUCCESS && !r.answered) {
             answer(r, reply -> reply.served(answer));
--- /dev/null
+++ b/src/main/java/gaugegw/proxy/dispatch/ResponseSink.java
@@ -0,0 +1,28 @@
+package gaugegw.proxy.dispatch;
+
+import gaugegw.proxy.upstream.UpstreamResponse;
+
+/**
+ * The client's side of a request. Exactly one of {@link #served}, {@link #rejected} and {@link #failed} is called, once;
+ * all calls are made on the event loop.
+ */
+public interface ResponseSink {
+    /**
+     * Reads what the client has sent, unless that was done a moment ago: its close may lie unread while the event loop
+     * is busy. Where the client has closed, {@link RequestDispatcher#clientDisconnected} is called before this returns.
+     */
+    void pollClient();
+
+    /** Answers with a backend's response; the sink releases its body. */
+    void served(UpstreamResponse response);
+
+    /**
+     * Answers that the request was rejected and that a retry is harmless.
+     *
+     * @param retryAfterUs the time after which the client should retry, in microseconds; 0: no advice
+     */
+    void rejected(long retryAfterUs);
+
+    /** Answers that the request has failed; it may have been executed. */
+    void failed();
+}
--- a/src/main/java/gaugegw/proxy/lifecycle/Warmup.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/Warmup.java
@@ -8,9 +8,9 @@
 import gaugegw.balancer.api.Tenant;
 import gaugegw.proxy.config.JsonTrees;
 import gaugegw.proxy.config.ProxyConfig;
+import gaugegw.proxy.http.HttpLimits;
 import gaugegw.proxy.http.ProtocolHeaders;
 import gaugegw.proxy.transport.Transport;
-import gaugegw.proxy.upstream.UpstreamClient;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandler;
@@ -144,7 +144,7 @@
                 channel.pipeline()
                         .addLast(
                                 handler instanceof StubClient ? new HttpClientCodec() : new HttpServerCodec(),
-                                new HttpObjectAggregator(UpstreamClient.MAX_BODY),
+                                new HttpObjectAggregator(HttpLimits.MAX_BODY_BYTES),
                                 handler);
             }
         };
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
@@ -1,16 +1,16 @@
 package gaugegw.proxy.upstream;
 
 import gaugegw.balancer.api.AttemptOutcome;
-import gaugegw.balancer.api.Endpoint;
 import gaugegw.balancer.api.EndpointState;
 import gaugegw.balancer.api.UpdateKind;
+import gaugegw.proxy.discovery.ListedEndpoint;
 import gaugegw.proxy.http.Framing;
+import gaugegw.proxy.http.HttpLimits;
 import gaugegw.proxy.http.ProtocolHeaders;
 import gaugegw.proxy.transport.Clock;
 import gaugegw.proxy.transport.ConnectionLimiter;
 import gaugegw.proxy.transport.Transport;
 import io.netty.bootstrap.Bootstrap;
-import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
@@ -22,7 +22,6 @@
 import io.netty.channel.pool.SimpleChannelPool;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
-import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.handler.codec.http.HttpRequestEncoder;
@@ -53,29 +52,14 @@
  * at a time. Nothing is ever sent again from here: each attempt is one that the module has asked for.
  */
 public final class UpstreamClient {
-    public static final int MAX_BODY = 64 * 1024;
 
     /** An answer with its head, its padding and what comes ahead of it is never longer than this. */
-    private static final long MOST_BYTES = 2 * MAX_BODY;
+    private static final long MOST_BYTES = 2 * HttpLimits.MAX_BODY_BYTES;
 
     private static final long STALL_MS = 100;
     /** A second answer has come by then: those seen were up to 4 ms behind the first. */
     private static final long SETTLE_US = 10_000;
 
-    /** What goes to a backend; it is the same for each attempt, but for the time left. */
-    public record UpstreamRequest(HttpMethod method, String uri, HttpHeaders headers, ByteBuf body) {}
-
-    /** A backend's 200. The body is the receiver's to release. */
-    public record UpstreamResponse(HttpHeaders headers, ByteBuf body) {}
-
-    /** A line of the list, and where this proxy finds that backend. */
-    public record ListedEndpoint(Endpoint endpoint, InetSocketAddress address) {}
-
-    /** Hears the one end of an attempt; {@code answer} is there for {@link AttemptOutcome#SUCCESS} alone. */
-    public interface AttemptListener {
-        void ended(AttemptOutcome outcome, long latencyUs, UpstreamResponse answer);
-    }
-
     private final Clock clock;
     private final EventLoop loop;
     private final Transport transport;
@@ -177,7 +161,7 @@
                                     .addLast(
                                             new HttpRequestEncoder(),
                                             decoder,
-                                            new HttpObjectAggregator(MAX_BODY),
+                                            new HttpObjectAggregator(HttpLimits.MAX_BODY_BYTES),
                                             new IdleStateHandler(0, 0, idleUs, TimeUnit.MICROSECONDS),
                                             new UpstreamConnection(UpstreamEndpoint.this, channel, decoder));
                         }
--- a/src/test/java/gaugegw/proxy/lifecycle/ProxyServerTest.java
+++ b/src/test/java/gaugegw/proxy/lifecycle/ProxyServerTest.java
@@ -7,11 +7,11 @@
 import gaugegw.balancer.api.Event.RequestArrived;
 import gaugegw.proxy.config.ProxyConfig;
 import gaugegw.proxy.discovery.EndpointWatcher;
+import gaugegw.proxy.http.HttpLimits;
 import gaugegw.proxy.testing.ProxyFixture;
 import gaugegw.proxy.testing.RawConnection;
 import gaugegw.proxy.testing.ScriptedServer;
 import gaugegw.proxy.transport.DescriptorBudget;
-import gaugegw.proxy.upstream.UpstreamClient;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -28,7 +28,7 @@
     /** Asked of a proxy that is not ready; the answer keeps the connection. */
     private static final String READY = "GET /ready HTTP/1.1\r\n\r\n";
 
-    private static final String LONGEST_BODY = "x".repeat(UpstreamClient.MAX_BODY);
+    private static final String LONGEST_BODY = "x".repeat(HttpLimits.MAX_BODY_BYTES);
     /** So many answers with such a body are more than the kernel holds for both sides. */
     private static final int MORE_THAN_THE_KERNEL_HOLDS = 150;
 
