--- a/src/main/java/gaugegw/proxy/dispatch/RequestDispatcher.java
+++ b/src/main/java/gaugegw/proxy/dispatch/RequestDispatcher.java
@@ -12,6 +12,7 @@
 import gaugegw.proxy.discovery.ListedEndpoint;
 import gaugegw.proxy.logging.RateLimitedLog;
 import gaugegw.proxy.transport.Clock;
+import gaugegw.proxy.upstream.UpstreamAttempt;
 import gaugegw.proxy.upstream.UpstreamClient;
 import gaugegw.proxy.upstream.UpstreamResponse;
 import io.netty.channel.EventLoop;
@@ -35,7 +36,7 @@
         private final ClientRequest clientRequest;
         private final ResponseSink responseSink;
         /** By their numbers; null where the attempt was never sent. */
-        private final List<UpstreamClient.UpstreamAttempt> attempts = new ArrayList<>(2);
+        private final List<UpstreamAttempt> attempts = new ArrayList<>(2);
 
         private int attemptsInFlight;
         private boolean answered;
@@ -130,7 +131,7 @@
         deliver(new Event.ClientDisconnected(r.clientRequest.id()));
         // A copy, as an end may bring the next attempt; not List.copyOf, which takes no null.
         new ArrayList<>(r.attempts).forEach(a -> {
-            if (a != null && !a.written()) {
+            if (a != null && !a.isWritten()) {
                 a.abort(AttemptOutcome.NOT_SENT);
             }
         });
@@ -154,8 +155,7 @@
     /** Discovery's news, or {@link UpdateKind#POLL_FAILED} where a call has brought none. */
     @Override
     public void endpointsUpdated(UpdateKind kind, List<ListedEndpoint> listed) {
-        List<UpstreamClient.UpstreamAttempt> unsent =
-                kind == UpdateKind.POLL_FAILED ? List.of() : backends.update(kind, listed);
+        List<UpstreamAttempt> unsent = kind == UpdateKind.POLL_FAILED ? List.of() : backends.update(kind, listed);
         deliver(new Event.EndpointUpdate(
                 kind, listed.stream().map(ListedEndpoint::endpoint).toList()));
         // The module has heard why by now, and sends them elsewhere.
@@ -260,7 +260,7 @@
             answerIfOpen(a.requestId(), ResponseSink::failed);
         } else if (action instanceof Action.CancelAttempt a) {
             DispatchedRequest r = requests.get(a.requestId());
-            UpstreamClient.UpstreamAttempt attempt =
+            UpstreamAttempt attempt =
                     r == null || a.attempt() >= r.attempts.size() ? null : r.attempts.get(a.attempt());
             if (attempt != null && limits.cancellation()) {
                 attempt.abort(AttemptOutcome.CANCELLED);
@@ -295,7 +295,7 @@
         int number = r.attempts.size();
         long left = r.clientRequest.deadlineUs() - clock.now();
         long timeoutUs = send.timeoutUs() == 0 ? left : Math.min(send.timeoutUs(), left);
-        UpstreamClient.UpstreamAttempt attempt = null;
+        UpstreamAttempt attempt = null;
         boolean allowed =
                 number < limits.maxAttempts() && timeoutUs > 0 && (r.attemptsInFlight == 0 || limits.hedging());
         if (!r.answered && allowed) {
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
@@ -20,15 +20,12 @@
 import io.netty.channel.pool.AbstractChannelPoolHandler;
 import io.netty.channel.pool.ChannelPoolHandler;
 import io.netty.channel.pool.SimpleChannelPool;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
-import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.handler.codec.http.HttpRequestEncoder;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpStatusClass;
 import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.TooLongHttpContentException;
 import io.netty.handler.timeout.IdleStateEvent;
 import io.netty.handler.timeout.IdleStateHandler;
@@ -139,14 +136,14 @@
         if (target == null || !target.ready || (!target.pool.hasUsable() && !limiter.admitsBackend())) {
             return null;
         }
-        return new UpstreamAttempt(target, outgoing, timeoutUs, beforeWrite, end);
+        return new UpstreamAttempt(clock, loop, target, outgoing, timeoutUs, beforeWrite, end);
     }
 
     /** One backend. */
-    private final class UpstreamEndpoint {
+    final class UpstreamEndpoint {
         private final InetSocketAddress address;
-        private final ConnectionPool pool;
-        private final Set<UpstreamAttempt> out = new LinkedHashSet<>();
+        final ConnectionPool pool;
+        final Set<UpstreamAttempt> out = new LinkedHashSet<>();
         private boolean ready;
 
         UpstreamEndpoint(InetSocketAddress address) {
@@ -171,7 +168,7 @@
         /** Closes what is idle; returns the attempts that have not been written whole and so never ran. */
         List<UpstreamAttempt> stopped() {
             pool.closeIdle();
-            return out.stream().filter(a -> !a.written).toList();
+            return out.stream().filter(a -> !a.isWritten()).toList();
         }
     }
 
@@ -179,7 +176,7 @@
      * Netty's pool, which leaves the choice of the idle connection to its subclass: of those that have settled the one
      * used last, so that the others grow old and are closed, and never one that was closed meanwhile.
      */
-    private final class ConnectionPool extends SimpleChannelPool {
+    final class ConnectionPool extends SimpleChannelPool {
         private final Deque<UpstreamConnection> idle = new ArrayDeque<>();
         /** The idle connection that the next poll takes, or null where none has been chosen. */
         private UpstreamConnection chosen;
@@ -266,124 +263,11 @@
         }
     }
 
-    /** One attempt, from the wish for a connection to its end. */
-    public final class UpstreamAttempt {
-        private final UpstreamEndpoint target;
-        private final UpstreamRequest outgoing;
-        private final long timeoutUs;
-        private final Runnable beforeWrite;
-        private final AttemptListener end;
-        private long startedAt;
-        private Future<?> timer;
-        private ChannelFuture connecting;
-        private Channel channel;
-        private boolean written;
-        private boolean ended;
-
-        private UpstreamAttempt(
-                UpstreamEndpoint target,
-                UpstreamRequest outgoing,
-                long timeoutUs,
-                Runnable beforeWrite,
-                AttemptListener end) {
-            this.target = target;
-            this.outgoing = outgoing;
-            this.timeoutUs = timeoutUs;
-            this.beforeWrite = beforeWrite;
-            this.end = end;
-        }
-
-        public void start() {
-            startedAt = clock.now();
-            target.out.add(this);
-            // Before its last byte is written it has not run for certain; after that it may, even if nothing comes.
-            timer = loop.schedule(
-                    () -> abort(written ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED),
-                    timeoutUs,
-                    TimeUnit.MICROSECONDS);
-            Promise<Channel> promise = loop.newPromise();
-            connecting = target.pool.acquireOrConnect(promise);
-            promise.addListener((Future<Channel> f) -> connected(f));
-        }
-
-        /** Returns whether its last byte has been written: only then may it have run. */
-        public boolean written() {
-            return written;
-        }
-
-        private void connected(Future<Channel> f) {
-            connecting = null;
-            if (f.isSuccess() && !ended) {
-                beforeWrite.run();
-            }
-            if (!f.isSuccess()) {
-                end(AttemptOutcome.CONNECT_FAILED, null);
-            } else if (ended) {
-                f.getNow().close();
-            } else {
-                channel = f.getNow();
-                try {
-                    write();
-                } catch (RuntimeException e) {
-                    // A request that can't be written down has gone nowhere; nobody else must suffer for it.
-                    abort(AttemptOutcome.NOT_SENT);
-                }
-            }
-        }
-
-        private void write() {
-            var request = new DefaultFullHttpRequest(
-                    HttpVersion.HTTP_1_1,
-                    outgoing.method(),
-                    outgoing.uri(),
-                    outgoing.body().retainedDuplicate());
-            ProtocolHeaders.copyEndToEnd(outgoing.headers(), request.headers());
-            request.headers().set(ProtocolHeaders.TIMEOUT, Math.max(1, startedAt + timeoutUs - clock.now()) + "u");
-            if (!outgoing.method().equals(HttpMethod.GET) || request.content().isReadable()) {
-                HttpUtil.setContentLength(request, request.content().readableBytes());
-            }
-            channel.pipeline().get(UpstreamConnection.class).begin(this);
-            channel.writeAndFlush(request).addListener(f -> {
-                written = f.isSuccess();
-                if (!written) {
-                    abort(AttemptOutcome.CONNECT_FAILED);
-                }
-            });
-        }
-
-        /** Ends the attempt from this side. Its connection is closed first: no other attempt goes out beside it. */
-        public void abort(AttemptOutcome outcome) {
-            if (ended) {
-                return;
-            }
-            ended = true;
-            if (channel != null) {
-                channel.close();
-            } else if (connecting != null) {
-                connecting.channel().close();
-            }
-            report(outcome, null);
-        }
-
-        private void end(AttemptOutcome outcome, UpstreamResponse answer) {
-            if (!ended) {
-                ended = true;
-                report(outcome, answer);
-            }
-        }
-
-        private void report(AttemptOutcome outcome, UpstreamResponse answer) {
-            timer.cancel(false);
-            target.out.remove(this);
-            end.ended(outcome, clock.now() - startedAt, answer);
-        }
-    }
-
     /**
      * The reading side of a connection to a backend. An answer is judged once all that has come is read: it is the
      * attempt's if it can be read whole, and its connection is used again only if it brought nothing else.
      */
-    private final class UpstreamConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
+    final class UpstreamConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final UpstreamEndpoint target;
         private final Channel channel;
         private final Framing.StrictResponseDecoder decoder;
@@ -448,7 +332,7 @@
             stopAwaiting();
             idleLimit.learn(idledUs, false);
             // One that began before the request was written whole can't be its answer.
-            boolean sound = response.decoderResult().isSuccess() && a.written;
+            boolean sound = response.decoderResult().isSuccess() && a.isWritten();
             boolean clean = sound && !unasked && !decoder.holdsMore();
             decoder.countAfresh();
             // Back into the pool before the module hears: what it sends next may find no room for another.
@@ -458,7 +342,7 @@
                 channel.close();
             }
             AttemptOutcome outcome = outcome(response, sound);
-            a.end(
+            a.complete(
                     outcome,
                     outcome == AttemptOutcome.SUCCESS
                             ? new UpstreamResponse(response.headers(), response.content())
@@ -499,7 +383,7 @@
             attempt = null;
             channel.close();
             if (a != null) {
-                a.end(AttemptOutcome.ERROR, null);
+                a.complete(AttemptOutcome.ERROR, null);
             }
         }
 
@@ -530,11 +414,11 @@
             if (attempt != null) {
                 UpstreamAttempt a = attempt;
                 attempt = null;
-                if (!a.ended) {
+                if (!a.isEnded()) {
                     // One that this side has given up tells nothing of what lies behind the connection.
                     idleLimit.learn(idledUs, decoder.bytes() == 0);
                 }
-                a.end(a.written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED, null);
+                a.complete(a.isWritten() ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED, null);
             }
         }
 
