--- a/src/main/java/gaugegw/proxy/client/ClientConnection.java
+++ b/src/main/java/gaugegw/proxy/client/ClientConnection.java
@@ -1,6 +1,6 @@
 package gaugegw.proxy.client;
 
-import gaugegw.proxy.http.Framing;
+import gaugegw.proxy.http.StrictRequestDecoder;
 import gaugegw.proxy.transport.Transport;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -51,7 +51,7 @@
 
     private final Frontend frontend;
     private final Queue<ClientExchange> waiting = new ArrayDeque<>();
-    private final Framing.StrictRequestDecoder decoder = new Framing.StrictRequestDecoder();
+    private final StrictRequestDecoder decoder = new StrictRequestDecoder();
     Channel channel;
     ClientExchange exchange;
     private long firstByteAt = -1;
--- a/src/main/java/gaugegw/proxy/upstream/LearnedIdleLimit.java
+++ b/src/main/java/gaugegw/proxy/upstream/LearnedIdleLimit.java
@@ -1,65 +1,86 @@
 package gaugegw.proxy.upstream;
 
 /**
- * How long a connection to a backend may have stood idle and still be worth a request. Whatever the settings say, what
- * lies behind it may have forgotten it without a sign; the next request on it is then reset, and may have run for all
- * that the proxy can prove. So it is learned from what becomes of requests: where those sent after some idle time are
- * reset far more often than those sent sooner, no connection is kept for so long. What was seen fades, and is tried anew.
+ * Learns how long a connection may have been idle and still be used. A firewall or a backend may drop an idle connection
+ * without a sign; the next request on it is then reset, and the proxy can't prove that it was not executed. Where
+ * requests sent after some idle time are reset far more often than those sent after less, no connection is used after
+ * such an idle time. Old observations fade, so that longer idle times are tried again. Used on the event loop only.
  */
 final class LearnedIdleLimit {
-    /** Idle times are told apart by steps of a factor of about 1.4, from a millisecond on. */
-    private static final int STEPS = 40;
+    /** Idle times are counted in buckets; the first holds all below a millisecond. */
+    private static final int BUCKETS = 40;
+    /** Each bucket ends at about 1.4 times the idle time at which it begins. */
+    private static final double BUCKETS_PER_DOUBLING = 2;
 
-    private static final double STEPS_PER_DOUBLING = 2;
-    /** Resets may be this many times as common as sooner, and this much more: less is chance, or costs no more than a connect. */
-    private static final double TIMES = 2;
+    private static final double FIRST_BUCKET_US = 1_000;
+    /** The share of resets in a bucket may be this multiple of the share after shorter idle times: less may be chance. */
+    private static final double MAX_RESET_RATE_MULTIPLE = 2;
+    /** The share of resets may be higher by this much: so few resets cost less than new connections do. */
+    private static final double MAX_RESET_RATE_INCREASE = 0.05;
+    /** Resets in a bucket below which its share says nothing. */
+    private static final double MIN_RESETS = 2;
+    /** After so many requests all earlier ones count half. */
+    private static final int REQUESTS_PER_DECAY = 4_096;
 
-    private static final double MORE = 0.05;
-    private static final double LEAST_RESETS = 2;
-    /** After so many requests, what was seen counts half. */
-    private static final int MEMORY = 4_096;
+    /** Requests by the bucket of the idle time before them; fractional, as they decay. */
+    private final double[] requests = new double[BUCKETS];
+    /** How many of these were reset. */
+    private final double[] resets = new double[BUCKETS];
 
-    private final double[] sent = new double[STEPS];
-    private final double[] reset = new double[STEPS];
-    private int count;
-    private int limit = STEPS;
+    private int recorded;
+    /** The first bucket whose idle times are not allowed. */
+    private int limitBucket = BUCKETS;
 
+    /** Returns whether a connection that has been idle for so long, in microseconds, may be used. */
     boolean allows(long idleUs) {
-        return step(idleUs) < limit;
+        return bucket(idleUs) < limitBucket;
     }
 
-    /** Takes in what became of a request; {@code idleUs} is 0 on a new connection. */
-    void learn(long idleUs, boolean wasReset) {
-        int step = step(idleUs);
-        sent[step]++;
-        reset[step] += wasReset ? 1 : 0;
-        if (++count % MEMORY == 0) {
-            for (int i = 0; i < STEPS; i++) {
-                sent[i] /= 2;
-                reset[i] /= 2;
-            }
+    /**
+     * Records whether a request was reset before any response.
+     *
+     * @param idleUs how long its connection was idle before it, in microseconds; 0 for a new connection
+     */
+    void record(long idleUs, boolean wasReset) {
+        int bucket = bucket(idleUs);
+        requests[bucket]++;
+        if (wasReset) {
+            resets[bucket]++;
+        }
+        recorded++;
+        boolean decays = recorded % REQUESTS_PER_DECAY == 0;
+        if (decays) {
+            decay();
+        }
+        if (wasReset || decays) {
+            limitBucket = firstUnreliableBucket();
         }
-        if (wasReset || count % MEMORY == 0) {
-            limit = limit();
+    }
+
+    private void decay() {
+        for (int i = 0; i < BUCKETS; i++) {
+            requests[i] /= 2;
+            resets[i] /= 2;
         }
     }
 
-    private int limit() {
-        double sooner = 0;
-        double resetSooner = 0;
-        for (int i = 0; i < STEPS; i++) {
-            double usual = sooner == 0 ? 0 : resetSooner / sooner;
-            if (i > 0 && reset[i] >= LEAST_RESETS && reset[i] > sent[i] * (TIMES * usual + MORE)) {
+    private int firstUnreliableBucket() {
+        double shorterRequests = 0;
+        double shorterResets = 0;
+        for (int i = 0; i < BUCKETS; i++) {
+            double usualRate = shorterRequests == 0 ? 0 : shorterResets / shorterRequests;
+            double maxRate = MAX_RESET_RATE_MULTIPLE * usualRate + MAX_RESET_RATE_INCREASE;
+            if (i > 0 && resets[i] >= MIN_RESETS && resets[i] > requests[i] * maxRate) {
                 return i;
             }
-            sooner += sent[i];
-            resetSooner += reset[i];
+            shorterRequests += requests[i];
+            shorterResets += resets[i];
         }
-        return STEPS;
+        return BUCKETS;
     }
 
-    private static int step(long idleUs) {
-        double doublings = Math.log(Math.max(1, idleUs / 1e3)) / Math.log(2);
-        return (int) Math.min(STEPS - 1, STEPS_PER_DOUBLING * doublings);
+    private static int bucket(long idleUs) {
+        double doublings = Math.log(Math.max(1, idleUs / FIRST_BUCKET_US)) / Math.log(2);
+        return (int) Math.min(BUCKETS - 1, BUCKETS_PER_DOUBLING * doublings);
     }
 }
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamAttempt.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamAttempt.java
@@ -34,8 +34,8 @@
 
     private final Clock clock;
     private final EventLoop loop;
-    private final UpstreamClient.UpstreamEndpoint endpoint;
-    private final UpstreamRequest outgoing;
+    private final UpstreamEndpoint endpoint;
+    private final UpstreamRequest request;
     private final long timeoutUs;
     private final Runnable beforeWrite;
     private final AttemptListener listener;
@@ -51,17 +51,16 @@
     private Channel channel;
 
     UpstreamAttempt(
-            Clock clock,
-            EventLoop loop,
-            UpstreamClient.UpstreamEndpoint endpoint,
-            UpstreamRequest outgoing,
+            UpstreamContext context,
+            UpstreamEndpoint endpoint,
+            UpstreamRequest request,
             long timeoutUs,
             Runnable beforeWrite,
             AttemptListener listener) {
-        this.clock = clock;
-        this.loop = loop;
+        this.clock = context.clock();
+        this.loop = context.loop();
         this.endpoint = endpoint;
-        this.outgoing = outgoing;
+        this.request = request;
         this.timeoutUs = timeoutUs;
         this.beforeWrite = beforeWrite;
         this.listener = listener;
@@ -72,10 +71,10 @@
         assert loop.inEventLoop();
         state = State.CONNECTING;
         startedAtUs = clock.now();
-        endpoint.out.add(this);
+        endpoint.attemptStarted(this);
         timeoutTimer = loop.schedule(this::timeOut, timeoutUs, TimeUnit.MICROSECONDS);
         Promise<Channel> acquired = loop.newPromise();
-        connecting = endpoint.pool.acquireOrConnect(acquired);
+        connecting = endpoint.pool().acquireOrConnect(acquired);
         acquired.addListener((Future<Channel> f) -> connected(f));
     }
 
@@ -149,18 +148,18 @@
     }
 
     private void write() {
-        var request = new DefaultFullHttpRequest(
+        var message = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
-                outgoing.method(),
-                outgoing.uri(),
-                outgoing.body().retainedDuplicate());
-        ProtocolHeaders.copyEndToEnd(outgoing.headers(), request.headers());
-        request.headers().set(ProtocolHeaders.TIMEOUT, Math.max(1, startedAtUs + timeoutUs - clock.now()) + "u");
-        if (!outgoing.method().equals(HttpMethod.GET) || request.content().isReadable()) {
-            HttpUtil.setContentLength(request, request.content().readableBytes());
+                request.method(),
+                request.uri(),
+                request.body().retainedDuplicate());
+        ProtocolHeaders.copyEndToEnd(request.headers(), message.headers());
+        message.headers().set(ProtocolHeaders.TIMEOUT, Math.max(1, startedAtUs + timeoutUs - clock.now()) + "u");
+        if (!request.method().equals(HttpMethod.GET) || message.content().isReadable()) {
+            HttpUtil.setContentLength(message, message.content().readableBytes());
         }
-        channel.pipeline().get(UpstreamClient.UpstreamConnection.class).begin(this);
-        channel.writeAndFlush(request).addListener(this::writeCompleted);
+        channel.pipeline().get(UpstreamConnectionHandler.class).begin(this);
+        channel.writeAndFlush(message).addListener(this::writeCompleted);
     }
 
     private void writeCompleted(Future<?> write) {
@@ -174,7 +173,7 @@
 
     private void report(AttemptOutcome outcome, UpstreamResponse response) {
         timeoutTimer.cancel(false);
-        endpoint.out.remove(this);
+        endpoint.attemptEnded(this);
         listener.ended(outcome, clock.now() - startedAtUs, response);
     }
 }
--- a/src/test/java/gaugegw/proxy/upstream/LearnedIdleLimitTest.java
+++ b/src/test/java/gaugegw/proxy/upstream/LearnedIdleLimitTest.java
@@ -13,7 +13,7 @@
 
     private void send(int times, long idleUs, double resets) {
         for (int i = 0; i < times; i++) {
-            limit.learn(idleUs, random.nextDouble() < resets);
+            limit.record(idleUs, random.nextDouble() < resets);
         }
     }
 
