--- a/src/main/java/gaugegw/proxy/http/FramingChecks.java
+++ b/src/main/java/gaugegw/proxy/http/FramingChecks.java
@@ -1,8 +1,8 @@
 package gaugegw.proxy.http;
 
 /**
- * The checks that {@link StrictRequestDecoder} and {@link StrictResponseDecoder} add to Netty's decoders. Both sides of a
- * connection must agree on where a message ends: what Netty would repair or tolerate is a decoder failure here, as a
+ * The checks that {@link StrictRequestDecoder} and {@link StrictResponseDecoder} add to Netty's decoders. Both sides of
+ * a connection must agree on where a message ends: what Netty would repair or tolerate is a decoder failure here, as a
  * guess may let a request be smuggled in the body of another, or give a client a response that no backend has sent.
  */
 final class FramingChecks {
@@ -14,8 +14,8 @@
     }
 
     /**
-     * Checks that a header name is followed by a colon, after optional white space. Netty takes the first word of a line
-     * without one for a header name with an empty value.
+     * Checks that a header name is followed by a colon, after optional white space. Netty takes the first word of a
+     * line without one for a header name with an empty value.
      *
      * @param line the bytes that hold the header line
      * @param nameEnd the index of the first byte behind the name
--- a/src/main/java/gaugegw/proxy/http/ProtocolHeaders.java
+++ b/src/main/java/gaugegw/proxy/http/ProtocolHeaders.java
@@ -17,7 +17,10 @@
     public static final String REQUEST_CLASS = "x-priority-class";
     /** The name of the tenant, as in the settings. */
     public static final String TENANT = "x-tenant-id";
-    /** How long the sender waits for the response: a number and {@code m} for milliseconds or {@code u} for microseconds. */
+    /**
+     * How long the sender waits for the response: a number and {@code m} for milliseconds or {@code u} for
+     * microseconds.
+     */
     public static final String TIMEOUT = "x-timeout";
     /** Lets backends discard a repeated request; its value is opaque to the proxy. */
     public static final String IDEMPOTENCY_KEY = "idempotency-key";
--- a/src/main/java/gaugegw/proxy/upstream/LearnedIdleLimit.java
+++ b/src/main/java/gaugegw/proxy/upstream/LearnedIdleLimit.java
@@ -1,10 +1,11 @@
 package gaugegw.proxy.upstream;
 
 /**
- * Learns how long a connection may have been idle and still be used. A firewall or a backend may drop an idle connection
- * without a sign; the next request on it is then reset, and the proxy can't prove that it was not executed. Where
- * requests sent after some idle time are reset far more often than those sent after less, no connection is used after
- * such an idle time. Old observations fade, so that longer idle times are tried again. Used on the event loop only.
+ * Learns how long a connection may have been idle and still be used. A firewall or a backend may drop an idle
+ * connection without a sign; the next request on it is then reset, and the proxy can't prove that it was not executed.
+ * Where requests sent after some idle time are reset far more often than those sent after less, no connection is used
+ * after such an idle time. Old observations fade, so that longer idle times are tried again. Used on the event loop
+ * only.
  */
 final class LearnedIdleLimit {
     /** Idle times are counted in buckets; the first holds all below a millisecond. */
@@ -13,7 +14,9 @@
     private static final double BUCKETS_PER_DOUBLING = 2;
 
     private static final double FIRST_BUCKET_US = 1_000;
-    /** The share of resets in a bucket may be this multiple of the share after shorter idle times: less may be chance. */
+    /**
+     * The share of resets in a bucket may be this multiple of the share after shorter idle times: less may be chance.
+     */
     private static final double MAX_RESET_RATE_MULTIPLE = 2;
     /** The share of resets may be higher by this much: so few resets cost less than new connections do. */
     private static final double MAX_RESET_RATE_INCREASE = 0.05;
--- a/src/main/java/gaugegw/proxy/upstream/ResponseClassifier.java
+++ b/src/main/java/gaugegw/proxy/upstream/ResponseClassifier.java
@@ -12,15 +12,17 @@
 
     private ResponseClassifier() {}
 
-    /** Returns whether a response is final; an interim one (1xx, but for a switch of protocols) is followed by another. */
+    /**
+     * Returns whether a response is final; an interim one (1xx, but for a switch of protocols) is followed by another.
+     */
     static boolean isFinal(HttpResponse response) {
         return response.status().codeClass() != HttpStatusClass.INFORMATIONAL
                 || response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS);
     }
 
     /**
-     * Returns whether a response can be read completely and answers the request: one that was begun before the last byte
-     * of the request was written does not.
+     * Returns whether a response can be read completely and answers the request: one that was begun before the last
+     * byte of the request was written does not.
      */
     static boolean isValid(HttpResponse response, boolean requestWritten) {
         return response.decoderResult().isSuccess() && requestWritten;
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
@@ -18,7 +18,7 @@
 
 /**
  * Sends attempts to the backends that discovery lists, over pooled connections that carry one attempt at a time. It
- * never retries: each attempt is one that the caller has asked for. All methods are called on the event loop.
+ * never retries: each attempt is one that the caller has started. All methods are called on the event loop.
  */
 public final class UpstreamClient {
     private final UpstreamContext context;
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamConnectionPool.java
@@ -17,10 +17,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The connections to one endpoint. Netty's pool leaves the choice of the idle connection to its subclass: here it is the
- * one that was used last, so that the others reach the idle timeout and are closed. A connection is used only if it has
- * settled after its last response and has received nothing since: bytes that nobody has asked for would be taken for the
- * response of the next attempt. Used on the event loop only.
+ * The connections to one endpoint. Netty's pool leaves the choice of the idle connection to its subclass: here it is
+ * the one that was used last, so that the others reach the idle timeout and are closed. A connection is used only if it
+ * has settled after its last response and has received nothing since: unexpected bytes would be taken for the response
+ * of the next attempt. Used on the event loop only.
  */
 final class UpstreamConnectionPool extends SimpleChannelPool {
     private final UpstreamContext context;
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Reserves an idle connection for an attempt that starts in this turn of the event loop; closes the connections that
-     * have been idle for too long.
+     * Reserves an idle connection for an attempt that starts in this turn of the event loop; closes the connections
+     * that have been idle for too long.
      *
      * @return whether there is one; if not, the attempt opens a connection
      */
@@ -117,7 +117,7 @@
         return true;
     }
 
-    /** Forgets a connection that was closed, so that no attempt is sent on it. */
+    /** Forgets a connection that was closed, so that no attempt is given it. */
     void connectionClosed(UpstreamConnectionHandler connection) {
         idle.remove(connection);
         if (reserved == connection) {
--- /dev/null
+++ b/src/test/java/gaugegw/proxy/upstream/UpstreamAttemptOutcomeTest.java
@@ -0,0 +1,216 @@
+package gaugegw.proxy.upstream;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import gaugegw.balancer.api.Action.StartAttempt;
+import gaugegw.balancer.api.AttemptOutcome;
+import gaugegw.balancer.api.Event.AttemptEnded;
+import gaugegw.balancer.api.Event.RequestArrived;
+import gaugegw.proxy.testing.ProxyFixture;
+import gaugegw.proxy.testing.RawConnection;
+import gaugegw.proxy.testing.ScriptedServer;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/**
+ * The outcome of an attempt. The decision module retries a request that is not idempotent only where the outcome proves
+ * that the backend has not executed it: such an outcome must be reported only where that is certain.
+ */
+class UpstreamAttemptOutcomeTest {
+    /**
+     * Only a 503 or 504 whose backend says so proves that the request was not executed. If any other error were taken
+     * for a rejection, a retry could execute the request twice.
+     */
+    @ParameterizedTest
+    @CsvSource({
+        "503 Unavailable,X-Not-Processed: 1,REJECTED",
+        "504 Late,X-Not-Processed: 1,REJECTED",
+        "503 Unavailable,X-Not-Processed: 0,ERROR",
+        "504 Late,X-Other: 1,ERROR",
+        "500 Error,X-Not-Processed: 1,ERROR",
+        "404 Unknown,X-Other: 1,ERROR",
+        "200 OK,X-Not-Processed: 1,SUCCESS"
+    })
+    void classifiesResponsesByStatusAndHeader(String status, String header, AttemptOutcome outcome) throws Exception {
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
+                var client = proxy.client()) {
+            backend.always(ScriptedServer.answer(status, "x", header));
+            client.send(ProxyFixture.get("r1"));
+            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(outcome);
+            assertThat(client.read().status()).isEqualTo(outcome == AttemptOutcome.SUCCESS ? 200 : 502);
+        }
+    }
+
+    /**
+     * A backend takes the complete request and its connection ends before the response is complete. The request may
+     * have been executed, so the outcome is a reset and not a failed connect.
+     */
+    @ParameterizedTest
+    @CsvSource({
+        "''",
+        "HTTP/1.1 200 OK\r\nContent-Le",
+        "'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf'",
+        "'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n'"
+    })
+    void connectionBrokenAfterTheCompleteRequestIsAReset(String partialResponse) throws Exception {
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
+                var client = proxy.client()) {
+            client.send(ProxyFixture.get("r1"));
+            try (RawConnection attempt = backend.accept()) {
+                attempt.read();
+                attempt.send(partialResponse);
+            }
+            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.RESET);
+            assertThat(client.read().status()).isEqualTo(502);
+        }
+    }
+
+    /**
+     * A response without a length is complete when its connection ends in order. If a reset were taken for that end,
+     * the client would be served a response that is cut short.
+     */
+    @ParameterizedTest
+    @CsvSource({"false,SUCCESS,200", "true,RESET,502"})
+    void responseWithoutLengthIsCompleteOnlyAtTheEndOfItsConnection(boolean reset, AttemptOutcome outcome, int status)
+            throws Exception {
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
+                var client = proxy.client()) {
+            client.send(ProxyFixture.get("r1"));
+            try (RawConnection attempt = backend.accept()) {
+                attempt.read();
+                attempt.send("HTTP/1.1 200 OK\r\n\r\nhalf");
+                if (reset) {
+                    attempt.socket.setSoLinger(true, 0);
+                }
+            }
+            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(outcome);
+            assertThat(client.read().status()).isEqualTo(status);
+        }
+    }
+
+    /** The backend refuses the connection: no byte was sent, and a retry is safe. */
+    @Test
+    void refusedConnectionIsAFailedConnect() throws Exception {
+        var backend = new ScriptedServer();
+        backend.close();
+        try (var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
+                var client = proxy.client()) {
+            client.send(ProxyFixture.get("r1"));
+            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.CONNECT_FAILED);
+            assertThat(client.read().status()).isEqualTo(502);
+        }
+    }
+
+    /**
+     * Something was received, so the request may have been executed. If the connection were kept, the response behind
+     * the malformed one would be served to another request.
+     */
+    @Test
+    void malformedResponseIsAnErrorAndClosesTheConnection() throws Exception {
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
+                var client = proxy.client()) {
+            RawConnection attempt = backend.attemptFor(client, "r1");
+            attempt.send("rubbish\r\n\r\n" + ScriptedServer.ok("not asked for"));
+            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.ERROR);
+            assertThat(client.read().status()).isEqualTo(502);
+            assertThat(attempt.ended()).isTrue();
+        }
+    }
+
+    /**
+     * The backend executes the request and responds with what is no valid or no complete response. If the attempt
+     * waited for its timeout, there would be no time left for a retry.
+     */
+    @ParameterizedTest
+    @ValueSource(
+            strings = {
+                "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 1\r\n\r\nx",
+                "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 1\r\n\r\nx",
+                "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nx",
+                "HTTP/1.1 200 OK\r\nContent-Length: 0x1\r\n\r\nx",
+                "HTTP/1.1 2x0 OK\r\nContent-Length: 1\r\n\r\nx",
+                "HTTP/1.1 OK 200\r\nContent-Length: 1\r\n\r\nx",
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\nzz\r\nx\r\n0\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx",
+                "HTTP/1.1 101 Switching Protocols\r\n\r\nx",
+                "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort",
+                "HTTP/1.1 200 OK\r\nX-Pad: p\r\n",
+                "\0noise without end"
+            })
+    void invalidResponseIsAnErrorAtOnce(String response) throws Exception {
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
+                var client = proxy.client()) {
+            RawConnection attempt = backend.attemptFor(client, "r1");
+            attempt.send(response);
+            AttemptEnded ended = proxy.next(AttemptEnded.class);
+            assertThat(ended.outcome()).isEqualTo(AttemptOutcome.ERROR);
+            assertThat(client.read().status()).isEqualTo(502);
+            assertThat(attempt.ended()).isTrue();
+        }
+    }
+
+    /** A faulty backend sends interim responses or headers without end. Without a limit they would fill the memory. */
+    @ParameterizedTest
+    @ValueSource(strings = {"HTTP/1.1 103 Early Hints\r\n\r\n", "X-Pad: pppppppp\r\n"})
+    void endlessResponseIsAbortedBySize(String repeated) throws Exception {
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
+                var client = proxy.client()) {
+            RawConnection attempt = backend.attemptFor(client, "r1");
+            // The connection may be closed before all of this is written.
+            ScriptedServer.background(() ->
+                    attempt.send((repeated.startsWith("HTTP") ? "" : "HTTP/1.1 200 OK\r\n") + repeated.repeat(10_000)));
+            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.ERROR);
+        }
+    }
+
+    /** A response body is longer than 64 KiB, the most that the protocol allows: the attempt ends with an error. */
+    @Test
+    void responseBodyOverTheLimitIsAnError() throws Exception {
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
+                var client = proxy.client()) {
+            backend.always(ScriptedServer.ok("x".repeat(70_000)));
+            client.send(ProxyFixture.get("r1"));
+            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.ERROR);
+        }
+    }
+
+    /**
+     * An attempt times out and is retried elsewhere. If its connection were still open, two attempts of one request
+     * would be in flight.
+     */
+    @Test
+    void timeoutClosesTheConnectionBeforeTheNextAttempt() throws Exception {
+        try (var slow = new ScriptedServer();
+                var other = new ScriptedServer();
+                var proxy = new ProxyFixture(
+                        (event, actions) -> {
+                            if (event instanceof RequestArrived a) {
+                                actions.accept(new StartAttempt(a.requestId(), "s0", 50_000));
+                            } else if (event instanceof AttemptEnded e && e.outcome() == AttemptOutcome.TIMEOUT) {
+                                actions.accept(new StartAttempt(e.requestId(), "s1", 0));
+                            }
+                        },
+                        slow,
+                        other);
+                var client = proxy.client()) {
+            client.send(ProxyFixture.get("r1"));
+            RawConnection first = slow.accept();
+            first.read();
+            RawConnection second = other.accept();
+            second.read();
+            assertThat(first.ended()).isTrue();
+            second.send(ScriptedServer.ok("x"));
+            assertThat(client.read().status()).isEqualTo(200);
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/gaugegw/proxy/upstream/UpstreamConnectionReuseTest.java
@@ -0,0 +1,208 @@
+package gaugegw.proxy.upstream;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import gaugegw.balancer.api.Action.CloseIdleConnections;
+import gaugegw.balancer.api.Action.StartAttempt;
+import gaugegw.balancer.api.Event.RequestArrived;
+import gaugegw.proxy.testing.ProxyFixture;
+import gaugegw.proxy.testing.RawConnection;
+import gaugegw.proxy.testing.ScriptedServer;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/**
+ * Which connections are used again. A connection that brings bytes which no attempt waits for, or that the backend may
+ * have dropped, must not carry another attempt: it would be given a foreign response, or be reset.
+ */
+class UpstreamConnectionReuseTest {
+    private static final String OK_X = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx";
+
+    /** Waits until a connection that has brought a response may be used again. */
+    private static void settle() throws InterruptedException {
+        long startNs = System.nanoTime();
+        while (System.nanoTime() - startNs < 20_000_000) {
+            Thread.sleep(1);
+        }
+    }
+
+    /**
+     * A backend drops idle connections without a sign, and resets the requests that it receives on them. The proxy
+     * learns the idle time after which that happens and opens new connections instead.
+     */
+    @Test
+    void connectionsResetAfterIdleTimeAreNotUsedAgain() throws Exception {
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
+                var client = proxy.client()) {
+            ScriptedServer.background(() -> {
+                while (true) {
+                    RawConnection connection = backend.accept();
+                    ScriptedServer.background(() -> {
+                        connection.read();
+                        connection.send(OK_X);
+                        connection.read();
+                        connection.close();
+                    });
+                }
+            });
+            int resets = 0;
+            for (int served = 0; served < 2; ) {
+                settle();
+                client.send(ProxyFixture.get("r" + resets + "-" + served));
+                served = client.read().status() == 200 ? served + 1 : 0;
+                resets += served == 0 ? 1 : 0;
+                assertThat(resets).isLessThan(20);
+            }
+        }
+    }
+
+    /**
+     * A backend hangs now and then, and the proxy closes the connection at the timeout. If that counted as a reset
+     * after idle time, the proxy would stop using idle connections that are sound.
+     */
+    @Test
+    void timeoutsDoNotCountAsResetsOfIdleConnections() throws Exception {
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(
+                        (event, actions) -> {
+                            if (event instanceof RequestArrived a) {
+                                actions.accept(new StartAttempt(
+                                        a.requestId(), "s0", a.requestId().startsWith("hangs") ? 30_000 : 0));
+                            } else {
+                                ProxyFixture.sendTo("s0").handle(event, actions);
+                            }
+                        },
+                        backend);
+                var client = proxy.client()) {
+            for (int i = 0; i < 8; i++) {
+                client.send(ProxyFixture.get("r" + i));
+                RawConnection attempt = backend.accept();
+                attempt.read();
+                attempt.send(OK_X);
+                assertThat(client.read().status()).isEqualTo(200);
+                settle();
+                client.send(ProxyFixture.get("hangs" + i));
+                assertThat(attempt.read().header("X-Request-ID")).isEqualTo("hangs" + i);
+                assertThat(client.read().status()).isEqualTo(502);
+                assertThat(attempt.ended()).isTrue();
+            }
+        }
+    }
+
+    /**
+     * Behind a valid response there are more bytes. The response is served, but the connection is closed: the bytes
+     * would be taken for the next response.
+     */
+    @ParameterizedTest
+    @ValueSource(
+            strings = {
+                "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nxnoise",
+                "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx\r\n\0\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nxHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\ny"
+            })
+    void bytesBehindAResponseCloseItsConnection(String response) throws Exception {
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
+                var client = proxy.client()) {
+            RawConnection attempt = backend.attemptFor(client, "r1");
+            attempt.send(response);
+            assertThat(client.read().body()).isEqualTo("x");
+            assertThat(attempt.ended()).isTrue();
+        }
+    }
+
+    /**
+     * Interim responses and unreadable load reports are no fault: the connection is used for the next attempt. It is
+     * closed as soon as bytes come that no attempt waits for, even less than a line of them.
+     */
+    @ParameterizedTest
+    @ValueSource(
+            strings = {
+                "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + OK_X,
+                "HTTP/1.1 200 OK\r\nX-Server-Load: TEXT ?\r\nContent-Length: 1\r\n\r\nx"
+            })
+    void validResponseIsServedAndItsConnectionKept(String response) throws Exception {
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
+                var client = proxy.client()) {
+            RawConnection attempt = backend.attemptFor(client, "r1");
+            attempt.send(response);
+            assertThat(client.read().body()).isEqualTo("x");
+            settle();
+            client.send(ProxyFixture.get("r2"));
+            assertThat(attempt.read().header("X-Request-ID")).isEqualTo("r2");
+            attempt.send(OK_X);
+            assertThat(client.read().body()).isEqualTo("x");
+            // No attempt waits for a response: whatever follows on this connection belongs to no request.
+            attempt.send("noise");
+            assertThat(attempt.ended()).isTrue();
+        }
+    }
+
+    /** A faulty backend writes two responses to one request. The second must not be served to the next client. */
+    @Test
+    void secondResponseIsNotServedToTheNextRequest() throws Exception {
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
+                var client = proxy.client()) {
+            RawConnection attempt = backend.attemptFor(client, "r1");
+            attempt.send(ScriptedServer.ok("one") + ScriptedServer.ok("two"));
+            assertThat(client.read().body()).isEqualTo("one");
+            assertThat(attempt.ended()).isTrue();
+            RawConnection next = backend.attemptFor(client, "r2");
+            next.send(ScriptedServer.ok("three"));
+            assertThat(client.read().body()).isEqualTo("three");
+        }
+    }
+
+    /**
+     * An idle connection is used for the next attempt, until the decision module has the idle connections
+     * closed.
+     */
+    @Test
+    void keepsIdleConnectionsUntilTheyAreClosedByTheModule() throws Exception {
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(
+                        (event, actions) -> {
+                            if (event instanceof RequestArrived a
+                                    && a.requestId().equals("r3")) {
+                                actions.accept(new CloseIdleConnections("s0"));
+                            }
+                            ProxyFixture.sendTo("s0").handle(event, actions);
+                        },
+                        backend);
+                var client = proxy.client()) {
+            client.send(ProxyFixture.get("r1"));
+            RawConnection first = backend.accept();
+            for (String next : List.of("r2", "r3")) {
+                first.read();
+                first.send(ScriptedServer.ok("x"));
+                assertThat(client.read().status()).isEqualTo(200);
+                settle();
+                client.send(ProxyFixture.get(next));
+            }
+            assertThat(first.ended()).isTrue();
+            RawConnection second = backend.accept();
+            assertThat(second.read().header("X-Request-ID")).isEqualTo("r3");
+        }
+    }
+
+    /**
+     * A request that crosses the backend's close of an idle connection is reset and may have been executed. So this
+     * side closes an idle connection well before the backend does.
+     */
+    @Test
+    void closesIdleConnectionsBeforeTheBackendDoes() throws Exception {
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), 1_024, 500_000, backend);
+                var client = proxy.client()) {
+            RawConnection attempt = backend.attemptFor(client, "r1");
+            attempt.send(ScriptedServer.ok("x"));
+            client.read();
+            assertThat(attempt.ended()).isTrue();
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/gaugegw/proxy/upstream/UpstreamEndpointUpdateTest.java
@@ -0,0 +1,59 @@
+package gaugegw.proxy.upstream;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import gaugegw.balancer.api.AttemptOutcome;
+import gaugegw.balancer.api.Event.AttemptEnded;
+import gaugegw.balancer.api.Event.RequestArrived;
+import gaugegw.proxy.testing.FullBacklog;
+import gaugegw.proxy.testing.ProxyFixture;
+import gaugegw.proxy.testing.RawConnection;
+import gaugegw.proxy.testing.ScriptedServer;
+import org.junit.jupiter.api.Test;
+
+/** What an update of the endpoint list does to the attempts and connections of an endpoint. */
+class UpstreamEndpointUpdateTest {
+    /**
+     * An endpoint begins to drain while an attempt still waits for its connection. No attempt may begin on a draining
+     * endpoint later than the grace period, so the attempt is aborted unsent.
+     */
+    @Test
+    void drainingEndpointAbortsAttemptsThatStillConnect() throws Exception {
+        try (var full = new FullBacklog();
+                var proxy = new ProxyFixture(ProxyFixture.watching("s1"), ProxyFixture.PATIENT);
+                var client = proxy.client()) {
+            RawConnection watch = proxy.list(ProxyFixture.entry("s1", full.address(), "ready"));
+            client.send(ProxyFixture.get("r1"));
+            proxy.next(RequestArrived.class);
+            watch.send(ScriptedServer.ok(
+                    ProxyFixture.list(43, false, ProxyFixture.entry("s1", full.address(), "draining"))));
+            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
+            assertThat(client.read().status()).isEqualTo(502);
+        }
+    }
+
+    /**
+     * The id identifies a backend, and its address may change. If the connections to the old address were kept,
+     * requests would go on to what is no longer that backend.
+     */
+    @Test
+    void endpointWithANewAddressIsSentNothingAtTheOldOne() throws Exception {
+        try (var oldServer = new ScriptedServer();
+                var newServer = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.watching("s0"), 1_024, 60_000_000, oldServer);
+                var client = proxy.client()) {
+            client.send(ProxyFixture.get("r1"));
+            RawConnection attempt = oldServer.accept();
+            attempt.read();
+            attempt.send(ScriptedServer.ok("old"));
+            assertThat(client.read().body()).isEqualTo("old");
+            RawConnection watch = proxy.discovery.accept();
+            watch.read();
+            watch.send(ScriptedServer.ok(
+                    ProxyFixture.list(42, false, ProxyFixture.entry("s0", newServer.address(), "ready"))));
+            assertThat(attempt.ended()).isTrue();
+            newServer.always(ScriptedServer.ok("new"));
+            assertThat(client.send(ProxyFixture.get("r2")).read().body()).isEqualTo("new");
+        }
+    }
+}
