--- a/src/main/java/gaugegw/proxy/client/ClientConnection.java
+++ b/src/main/java/gaugegw/proxy/client/ClientConnection.java
@@ -3,381 +3,314 @@
 import gaugegw.proxy.http.StrictRequestDecoder;
 import gaugegw.proxy.transport.Transport;
 import io.netty.buffer.ByteBuf;
-import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelOutboundBuffer;
-import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.ChannelInputShutdownEvent;
-import io.netty.channel.socket.SocketChannel;
-import io.netty.handler.codec.CodecException;
-import io.netty.handler.codec.http.DefaultFullHttpResponse;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
-import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpResponseEncoder;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
 import io.netty.util.ReferenceCountUtil;
-import java.io.IOException;
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
-import java.util.Queue;
 
-/** One client's connection. */
+/**
+ * One client's connection: reads its requests, has one exchange at a time, in the order of the requests, and applies
+ * the time limits. How it ends is up to its {@link ClosingSequence}. It is the first handler of its channel and adds
+ * the others. Used on the event loop only.
+ */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-    /** A connection on which nothing is asked for so long is closed. */
-    private static final long IDLE_US = 2_200_000;
-    /** A request must have come whole by then, counted from its first byte, a connection's first from the connect. */
-    private static final long WHOLE_US = 2_200_000;
-    /** A client that takes nothing of its answer for so long has gone. */
-    private static final long UNREAD_US = 10_000_000;
-    /** Of what is not served, beyond the requests read ahead or behind the last answer, so many bytes are read. */
-    private static final long MAX_UNSERVED_BYTES = 256 * 1024;
-    /** How long a connection stays open for reading after its last answer, at most. */
-    private static final long LINGER_US = 1_000_000;
-    /** A client's channel that was read so lately is not read again before an attempt; well under the 0.1 s allowed. */
-    private static final long FRESH_US = 20_000;
+    /** A connection without a request is closed after this time, in microseconds. */
+    private static final long IDLE_TIMEOUT_US = 2_200_000;
+    /** Time for a request to be received completely, from its first byte or, for the first one, from the connect. */
+    private static final long REQUEST_TIMEOUT_US = 2_200_000;
+    /** A client that reads nothing of its response for so long has gone. */
+    private static final long WRITE_TIMEOUT_US = 10_000_000;
+    /** The longest time that a connection is read from after its last response. */
+    private static final long LINGER_TIMEOUT_US = 1_000_000;
     /**
-     * A client that has taken its last answer has closed by then, which takes a round trip: the 50 ms that the protocol
-     * allows on every time limit, for either direction. A drain does not wait for it any longer.
+     * A client that has read its last response has closed by then: a round trip, of 50 ms in either direction by the
+     * allowance that the protocol makes on every time limit. A graceful shutdown does not wait for it any longer.
      */
     private static final long CLIENT_CLOSE_US = 100_000;
-    /** Requests kept ahead on one connection; clients send one at a time, so more is not worth memory. */
-    private static final int PIPELINED = 2;
+    /**
+     * A channel that was read so recently is not read again before an attempt. No attempt may begin 100 ms after the
+     * client's close has been received; this is well below that.
+     */
+    private static final long RECENT_READ_US = 20_000;
 
-    private final Frontend frontend;
-    private final Queue<ClientExchange> waiting = new ArrayDeque<>();
+    private final ClientContext context;
+    private final Channel channel;
     private final StrictRequestDecoder decoder = new StrictRequestDecoder();
-    Channel channel;
-    ClientExchange exchange;
-    private long firstByteAt = -1;
-    private long lastReadAt;
-    /** When the channel was last read, in microseconds. */
-    private long polledAt;
-    /** Since when nothing is open here: the connect, or the last answer. */
-    private long idleSince;
-
-    private boolean used;
-    boolean left;
-    /** The last answer has been written, or nothing more will be: what comes is neither decoded nor taken. */
-    private boolean ends;
-    /** An error that waits for the answers before it, to be the last. */
-    private FullHttpResponse parting;
-    /** Since when the connection is only read from, or -1. */
-    private long lingersSince = -1;
-
-    private long unservedBytes;
-    /** The whole requests read beyond those that wait: nothing else is kept of them. */
-    private int surplus;
-
-    ClientConnection(Frontend frontend) {
-        this.frontend = frontend;
+    private final PipelinedRequests pipelined = new PipelinedRequests();
+    private final RequestArrival arrival;
+    private final ClosingSequence closing;
+    /** The exchange whose response comes next; null if there is none. */
+    private ClientExchange exchange;
+    /** When the channel was last read, on the proxy's clock. */
+    private long lastReadAtUs;
+    /** The connect or the end of the last exchange, on the proxy's clock. */
+    private long idleSinceUs;
+
+    private boolean hasResponded;
+
+    ClientConnection(ClientContext context, Channel channel) {
+        this.context = context;
+        this.channel = channel;
+        this.arrival = new RequestArrival(context.delayEstimator());
+        this.closing = new ClosingSequence(channel, context.clock(), context.limiter());
     }
 
     @Override
     public void handlerAdded(ChannelHandlerContext ctx) {
-        channel = ctx.channel();
-        idleSince = frontend.clock.now();
-        frontend.connections.add(this);
-        channel.pipeline().addLast(decoder, new HttpResponseEncoder(), new RequestAggregator(this), new Requests(this));
+        idleSinceUs = context.clock().now();
+        context.connections().add(this);
+        channel.pipeline()
+                .addLast(
+                        decoder,
+                        new HttpResponseEncoder(),
+                        new RequestAggregator(this),
+                        new ClientRequestHandler(this, context.log()));
     }
 
-    /** A client's patience began when it sent; the nearest to it that can be known is its first byte. */
+    // Reading
+
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
-        if (surplus > 0 || parting != null || ends) {
+        if (pipelined.hasOverflow() || !closing.isOpen()) {
             countUnserved(((ByteBuf) message).readableBytes());
         }
-        if (parting != null || ends || left) {
+        if (!closing.isOpen() || closing.isClientFinished()) {
             ReferenceCountUtil.release(message);
             return;
         }
-        if (firstByteAt < 0) {
-            firstByteAt = Math.min(frontend.heldUpFrom, frontend.arrivedAt(frontend.clock.now()));
-        }
+        arrival.bytesRead();
         super.channelRead(ctx, message);
     }
 
-    @Override
-    public void channelReadComplete(ChannelHandlerContext ctx) throws Exception {
-        polledAt = frontend.clock.now();
-        super.channelReadComplete(ctx);
-    }
-
-    /** Reads the channel once, where that was not done just before; a close behind more than that stays unseen. */
-    void poll() {
-        if (channel.isActive() && frontend.clock.now() - polledAt >= FRESH_US) {
-            Transport.readNow(channel);
+    private void countUnserved(int bytes) {
+        if (!closing.exceedsUnserved(bytes)) {
+            return;
         }
-        if (!channel.isActive()) {
-            // Its event is yet to come.
-            abandon();
+        if (closing.isLingering()) {
+            channel.close();
+        } else if (!closing.isClientFinished()) {
+            // Its close would lie unread behind what it sends, and such a client does not wait for a response.
+            clientFinished();
         }
     }
 
     @Override
-    public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
-        if (event instanceof ChannelInputShutdownEvent) {
-            left();
-        }
-        super.userEventTriggered(ctx, event);
-    }
-
-    /**
-     * The client sends nothing more: as far as can be told it has gone, and what it has asked for is not worth any
-     * work. It may have ended its sending alone, so each request that it has sent whole is answered all the same.
-     */
-    private void left() {
-        left = true;
-        if (exchange != null) {
-            exchange.giveUp();
-        } else {
-            close();
-        }
-    }
-
-    /** Closes the connection after what is still being written; what is read meanwhile is not taken any more. */
-    private void close() {
-        closeAfter(channel.writeAndFlush(Unpooled.EMPTY_BUFFER));
+    public void channelReadComplete(ChannelHandlerContext ctx) throws Exception {
+        lastReadAtUs = context.clock().now();
+        super.channelReadComplete(ctx);
     }
 
     /**
-     * Ends the connection with a last write. Closing with bytes unread would reset the connection, and the client
-     * would lose what it has not read by then: so this side ends its sending, and some of the rest is read and
-     * dropped for a while.
+     * Reads the channel, unless it was read recently, so that a close which lies unread while the event loop is busy is
+     * noticed. One read takes a limited number of bytes; a close behind more than that stays unnoticed.
      */
-    private void closeAfter(ChannelFuture lastWrite) {
-        ends = true;
-        lastWrite.addListener(f -> {
-            if (f.isSuccess()
-                    && !left
-                    && unservedBytes < MAX_UNSERVED_BYTES
-                    && channel instanceof SocketChannel socket) {
-                linger(socket);
-            } else {
-                channel.close();
-            }
-        });
-    }
-
-    private void linger(SocketChannel socket) {
-        lingersSince = frontend.clock.now();
-        frontend.limiter.clientIdle(socket);
-        socket.shutdownOutput();
-    }
-
-    @Override
-    public void channelInactive(ChannelHandlerContext ctx) throws Exception {
-        frontend.connections.remove(this);
-        frontend.lingering.remove(this);
-        waiting.forEach(e -> e.request.release());
-        waiting.clear();
-        if (parting != null) {
-            parting.release();
+    void poll() {
+        if (channel.isActive() && context.clock().now() - lastReadAtUs >= RECENT_READ_US) {
+            Transport.readNow(channel);
         }
-        abandon();
-        super.channelInactive(ctx);
-    }
-
-    /** Nobody is left to be answered. */
-    private void abandon() {
-        if (exchange != null) {
-            ClientExchange gone = exchange;
-            exchange = null;
-            gone.clientGone();
+        if (!channel.isActive()) {
+            // channelInactive follows as a task, too late for the attempt that is about to begin.
+            abandonExchange();
         }
     }
 
-    void request(FullHttpRequest request) {
-        if (parting != null || ends || !channel.isActive()) {
+    /** Takes a complete request, and releases it once it is responded to. */
+    void requestReceived(FullHttpRequest request) {
+        if (!closing.isOpen() || !channel.isActive()) {
             request.release();
             return;
         }
         if (request.decoderResult().isFailure()) {
             request.release();
-            part(plain(HttpResponseStatus.BAD_REQUEST, "not a request that can be read"));
+            endWithError(PlainTextResponse.badRequest("malformed request"));
             return;
         }
-        // Where several came in one read, all of them came when that read did.
-        lastReadAt = firstByteAt < 0 ? lastReadAt : firstByteAt;
-        firstByteAt = -1;
-        var next = new ClientExchange(frontend, this, request, lastReadAt);
+        var next = new ClientExchange(context, this, request, arrival.complete());
         if (exchange == null) {
-            frontend.limiter.clientBusy(channel);
+            context.limiter().clientBusy(channel);
             exchange = next;
-            // As a task: by then all that has come is read, and a client that has gone is known to have.
+            // As a task: by then everything received is read, and a client that has closed is known to have.
             channel.eventLoop().execute(next::begin);
-        } else if (surplus == 0 && waiting.size() < PIPELINED) {
-            waiting.add(next);
         } else {
-            request.release();
-            surplus++;
+            pipelined.add(next);
         }
     }
 
-    /** The exchange is over; the next that was read ahead begins. */
-    void answered(boolean keepAlive, ChannelFuture written) {
-        used = true;
-        idleSince = frontend.clock.now();
-        exchange = keepAlive ? waiting.poll() : null;
+    // Exchanges
+
+    boolean isCurrent(ClientExchange other) {
+        return exchange == other;
+    }
+
+    boolean isActive() {
+        return channel.isActive();
+    }
+
+    /** Returns whether no response follows the one to the current exchange. */
+    boolean isLastExchange() {
+        return pipelined.isEmpty() && !closing.hasFinalError();
+    }
+
+    /** Writes the response to the current exchange and begins the next exchange, or closes the connection. */
+    void finishExchange(FullHttpResponse response, boolean keepAlive) {
+        ChannelFuture written = channel.writeAndFlush(response);
+        hasResponded = true;
+        idleSinceUs = context.clock().now();
+        exchange = keepAlive ? pipelined.poll() : null;
         if (!keepAlive) {
-            closeAfter(written);
+            closing.closeAfter(written);
         } else if (exchange != null) {
             exchange.begin();
-        } else if (surplus > 0) {
-            refuseSurplus();
-        } else if (parting != null) {
-            hangUp();
+        } else if (pipelined.hasOverflow()) {
+            rejectOverflow();
+        } else if (closing.hasFinalError()) {
+            closing.sendFinalError();
         } else {
-            // Not before: an idle connection may be closed at any moment.
-            written.addListener(f -> {
-                if (exchange == null && !unsent()) {
-                    frontend.limiter.clientIdle(channel);
-                }
-            });
+            // Not before it is written: an idle connection may be evicted, and the response would be cut off.
+            written.addListener(f -> markIdle());
         }
     }
 
-    /** Answers each request of which only the number is kept, in their order; nothing more is taken behind them. */
-    private void refuseSurplus() {
-        if (parting == null) {
-            parting = tooManyRequests();
-            surplus--;
-        }
-        for (; surplus > 0; surplus--) {
-            channel.write(tooManyRequests());
+    private void markIdle() {
+        if (exchange == null && !hasUnwrittenData()) {
+            context.limiter().clientIdle(channel);
         }
-        hangUp();
     }
 
-    private static FullHttpResponse tooManyRequests() {
-        return plain(HttpResponseStatus.TOO_MANY_REQUESTS, "too many requests at once; this one has not been begun");
+    /** Responds to each request of the overflow, in order; the last of these responses is the connection's last. */
+    private void rejectOverflow() {
+        if (!closing.hasFinalError()) {
+            closing.deferFinalError(PlainTextResponse.tooManyRequests());
+            pipelined.removeOverflow();
+        }
+        while (pipelined.hasOverflow()) {
+            channel.write(PlainTextResponse.tooManyRequests());
+            pipelined.removeOverflow();
+        }
+        closing.sendFinalError();
     }
 
-    /** The exchange is no request that can be passed on: the answer says so, and nothing is begun behind it. */
-    void rejected(FullHttpResponse answer) {
+    /** Responds to the current exchange with an error and ends the connection: no request behind it is dispatched. */
+    void rejectAndClose(FullHttpResponse error) {
         exchange = null;
-        surplus += waiting.size();
-        waiting.forEach(e -> e.request.release());
-        waiting.clear();
-        if (surplus > 0) {
-            channel.write(answer);
-            refuseSurplus();
-        } else if (parting != null) {
-            channel.write(answer);
-            hangUp();
+        pipelined.overflowWaiting();
+        if (pipelined.hasOverflow()) {
+            channel.write(error);
+            rejectOverflow();
+        } else if (closing.hasFinalError()) {
+            channel.write(error);
+            closing.sendFinalError();
         } else {
-            part(answer);
+            endWithError(error);
         }
     }
 
-    /** Returns whether nothing more is to be answered after the exchange that is under way. */
-    boolean last() {
-        return waiting.isEmpty() && surplus == 0 && parting == null;
+    /** Responds with an error to what is no valid request, after the requests before it, and reads no further. */
+    void endWithError(FullHttpResponse error) {
+        if (!closing.isOpen()) {
+            error.release();
+            return;
+        }
+        closing.deferFinalError(error);
+        // What the decoder holds, and what is received from here on, is not decoded any more.
+        channel.pipeline().remove(decoder);
+        if (exchange == null) {
+            closing.sendFinalError();
+        }
     }
 
-    void closeIfIdle() {
-        if (exchange == null && firstByteAt < 0 && !ends) {
-            close();
+    // The client's end
+
+    @Override
+    public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
+        if (event instanceof ChannelInputShutdownEvent) {
+            clientFinished();
         }
+        super.userEventTriggered(ctx, event);
     }
 
-    /** Whatever a client does or leaves undone, its connection is not kept for longer than it is of use. */
-    void expire(long now) {
-        if (exchange != null) {
-            return;
-        }
-        if (lingersSince >= 0) {
-            expireLingering(now - lingersSince);
-        } else if (firstByteAt >= 0 && !ends) {
-            // A byte now and then renews nothing: the time is for the whole request.
-            if (now - (used ? firstByteAt : idleSince) > WHOLE_US) {
-                part(plain(HttpResponseStatus.REQUEST_TIMEOUT, "the request has not come in time"));
-            }
-        } else if (now - idleSince > (unsent() ? UNREAD_US : IDLE_US)) {
-            channel.close();
-        }
+    boolean hasClientFinished() {
+        return closing.isClientFinished();
     }
 
-    private void expireLingering(long lingeredUs) {
-        if (lingeredUs > LINGER_US) {
-            channel.close();
-        } else if (lingeredUs > CLIENT_CLOSE_US && frontend.connections.remove(this)) {
-            frontend.lingering.add(this);
+    /**
+     * The client sends nothing more. It has probably gone, so that no more work is done for it; but it may only have
+     * shut down its output, so that each request that it has sent completely is still responded to.
+     */
+    private void clientFinished() {
+        closing.setClientFinished();
+        if (exchange != null) {
+            exchange.clientFinished();
+        } else {
+            closing.closeAfterPendingWrites();
         }
     }
 
-    private boolean unsent() {
-        ChannelOutboundBuffer out = channel.unsafe().outboundBuffer();
-        return out != null && !out.isEmpty();
+    @Override
+    public void channelInactive(ChannelHandlerContext ctx) throws Exception {
+        context.connections().remove(this);
+        pipelined.releaseWaiting();
+        closing.release();
+        abandonExchange();
+        super.channelInactive(ctx);
     }
 
-    /** Answers what can't be read as a request, after those that came before it; nothing is read beyond it. */
-    void part(FullHttpResponse answer) {
-        if (parting != null || ends) {
-            answer.release();
-            return;
-        }
-        parting = answer;
-        // What it holds, and what comes, is not decoded any more.
-        channel.pipeline().remove(decoder);
-        if (exchange == null) {
-            hangUp();
+    private void abandonExchange() {
+        if (exchange != null) {
+            ClientExchange abandoned = exchange;
+            exchange = null;
+            abandoned.clientDisconnected();
         }
     }
 
-    /** Sends the error that was kept for the end. */
-    private void hangUp() {
-        FullHttpResponse last = parting;
-        parting = null;
-        HttpUtil.setKeepAlive(last, false);
-        closeAfter(channel.writeAndFlush(last));
+    // Time limits
+
+    void closeIfIdle() {
+        if (exchange == null && !arrival.isIncomplete() && !closing.isClosing()) {
+            closing.closeAfterPendingWrites();
+        }
     }
 
-    private void countUnserved(int bytes) {
-        unservedBytes += bytes;
-        if (unservedBytes < MAX_UNSERVED_BYTES) {
+    /** Ends the connection if it has exceeded a time limit; none applies while there is an exchange. */
+    void expire(long nowUs) {
+        if (exchange != null) {
             return;
         }
-        if (lingersSince >= 0) {
+        if (closing.isLingering()) {
+            expireLingering(closing.lingeringForUs(nowUs));
+        } else if (arrival.isIncomplete() && !closing.isClosing()) {
+            expireIncompleteRequest(nowUs);
+        } else if (nowUs - idleSinceUs > (hasUnwrittenData() ? WRITE_TIMEOUT_US : IDLE_TIMEOUT_US)) {
             channel.close();
-        } else if (!left) {
-            // Unread, what it sends would hide its close; and it does not wait for an answer.
-            left();
         }
     }
 
-    private final class Requests extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private final ClientConnection connection;
-
-        Requests(ClientConnection connection) {
-            this.connection = connection;
-        }
-
-        @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            connection.request(request.retain());
+    private void expireLingering(long lingeringUs) {
+        if (lingeringUs > LINGER_TIMEOUT_US) {
+            channel.close();
+        } else if (lingeringUs > CLIENT_CLOSE_US) {
+            context.connections().stopAwaiting(this);
         }
+    }
 
-        @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // A client that goes away, or stops half-way, is nothing to tell the operators.
-            if (!(cause instanceof IOException) && !(cause instanceof CodecException)) {
-                frontend.log.failure("a client's connection failed", cause);
-            }
-            ctx.close();
+    /** The limit is for the complete request: a client that sends a byte now and then does not renew it. */
+    private void expireIncompleteRequest(long nowUs) {
+        long sinceUs = hasResponded ? arrival.firstByteAtUs() : idleSinceUs;
+        if (nowUs - sinceUs > REQUEST_TIMEOUT_US) {
+            endWithError(PlainTextResponse.of(
+                    HttpResponseStatus.REQUEST_TIMEOUT, "the request was not received completely in time"));
         }
     }
 
-    static FullHttpResponse plain(HttpResponseStatus status, String text) {
-        ByteBuf body = Unpooled.copiedBuffer(text + "\n", StandardCharsets.UTF_8);
-        var answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
-        answer.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8");
-        HttpUtil.setContentLength(answer, body.readableBytes());
-        return answer;
+    private boolean hasUnwrittenData() {
+        ChannelOutboundBuffer unwritten = channel.unsafe().outboundBuffer();
+        return unwritten != null && !unwritten.isEmpty();
     }
 }
--- /dev/null
+++ b/src/main/java/gaugegw/proxy/client/ClientRequestParser.java
@@ -0,0 +1,140 @@
+package gaugegw.proxy.client;
+
+import gaugegw.balancer.api.BalancerSettings;
+import gaugegw.balancer.api.Idempotency;
+import gaugegw.proxy.dispatch.ClientRequest;
+import gaugegw.proxy.http.ProtocolHeaders;
+import gaugegw.proxy.upstream.UpstreamRequest;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.HttpHeaders;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.QueryStringDecoder;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Predicate;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+
+/** Checks clients' requests against the protocol and the settings, and parses them. Used on the event loop only. */
+final class ClientRequestParser {
+    private static final String API_PATH = "/api";
+    private static final String KEY_PARAMETER = "k";
+    private static final String RETRIED = "1";
+    private static final Pattern TIMEOUT = Pattern.compile("(\\d{1,8})([mu])");
+    /** The time kept for the response to reach the client, and for the proxy's own delays, in microseconds. */
+    private static final long RESPONSE_MARGIN_US = 8_000;
+    /** The margin is at most this part of a client's timeout: a request with a short timeout is served nevertheless. */
+    private static final long MAX_MARGIN_DIVISOR = 10;
+
+    private final Map<String, Idempotency> idempotencyByClass = new HashMap<>();
+    private final Set<String> tenants = new HashSet<>();
+    private final Predicate<String> isInFlight;
+
+    /**
+     * Creates a parser.
+     *
+     * @param isInFlight whether a request with a given id is being served
+     */
+    ClientRequestParser(BalancerSettings settings, Predicate<String> isInFlight) {
+        settings.requestClasses().forEach(c -> idempotencyByClass.put(c.name(), c.idempotency()));
+        settings.tenants().forEach(t -> tenants.add(t.name()));
+        this.isInFlight = isInFlight;
+    }
+
+    /**
+     * Parses a request.
+     *
+     * @param request the complete request, whose body the parsed request refers to without retaining it
+     * @param uri its decoded target
+     * @param firstByteAtUs when its first byte was received, on the proxy's clock
+     * @throws RequestRejectedException if the request can't be forwarded
+     * @throws IllegalArgumentException if the target is malformed
+     */
+    ClientRequest parse(FullHttpRequest request, QueryStringDecoder uri, long firstByteAtUs)
+            throws RequestRejectedException {
+        requireApiPath(uri);
+        HttpHeaders headers = request.headers();
+        String requestClass = requireHeader(headers, ProtocolHeaders.REQUEST_CLASS);
+        requireMethod(request, requestClass);
+        String tenant = tenant(headers);
+        String requestId = requireHeader(headers, ProtocolHeaders.REQUEST_ID);
+        if (isInFlight.test(requestId)) {
+            throw new RequestRejectedException(
+                    HttpResponseStatus.CONFLICT, "a request with this id is already in flight");
+        }
+        List<String> keys = uri.parameters().get(KEY_PARAMETER);
+        long timeoutUs = timeoutUs(requireHeader(headers, ProtocolHeaders.TIMEOUT));
+        return new ClientRequest(
+                requestId,
+                requestClass,
+                tenant,
+                keys == null ? null : keys.get(0),
+                RETRIED.equals(headers.get(ProtocolHeaders.RETRIED)),
+                firstByteAtUs + timeoutUs - responseMarginUs(timeoutUs),
+                new UpstreamRequest(request.method(), request.uri(), headers, request.content()));
+    }
+
+    private static void requireApiPath(QueryStringDecoder uri) throws RequestRejectedException {
+        String path = uri.rawPath();
+        if (!path.equals(API_PATH) && !path.startsWith(API_PATH + "/")) {
+            throw new RequestRejectedException(HttpResponseStatus.NOT_FOUND, "no such path");
+        }
+    }
+
+    /** The class fixes the method: GET for idempotent requests, POST for all others. */
+    private void requireMethod(FullHttpRequest request, String requestClass) throws RequestRejectedException {
+        Idempotency idempotency = idempotencyByClass.get(requestClass);
+        if (idempotency == null) {
+            throw badRequest("unknown " + ProtocolHeaders.REQUEST_CLASS);
+        }
+        HttpMethod required = idempotency == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
+        if (!request.method().equals(required)) {
+            throw new RequestRejectedException(
+                    HttpResponseStatus.METHOD_NOT_ALLOWED, "this request class requires the method " + required);
+        }
+        if (idempotency == Idempotency.IDEMPOTENT_WITH_KEY) {
+            requireHeader(request.headers(), ProtocolHeaders.IDEMPOTENCY_KEY);
+        }
+    }
+
+    /** Returns the name of the request's tenant; null if the settings have no tenants. */
+    private String tenant(HttpHeaders headers) throws RequestRejectedException {
+        if (tenants.isEmpty()) {
+            return null;
+        }
+        String tenant = requireHeader(headers, ProtocolHeaders.TENANT);
+        if (!tenants.contains(tenant)) {
+            throw badRequest("unknown " + ProtocolHeaders.TENANT);
+        }
+        return tenant;
+    }
+
+    private static String requireHeader(HttpHeaders headers, String name) throws RequestRejectedException {
+        String value = headers.get(name);
+        if (value == null || value.isEmpty()) {
+            throw badRequest("missing " + name);
+        }
+        return value;
+    }
+
+    private static long timeoutUs(String text) throws RequestRejectedException {
+        Matcher timeout = TIMEOUT.matcher(text);
+        if (!timeout.matches() || Long.parseLong(timeout.group(1)) == 0) {
+            throw badRequest("bad " + ProtocolHeaders.TIMEOUT);
+        }
+        long usPerUnit = timeout.group(2).equals("m") ? 1_000 : 1;
+        return Long.parseLong(timeout.group(1)) * usPerUnit;
+    }
+
+    private static long responseMarginUs(long timeoutUs) {
+        return Math.min(RESPONSE_MARGIN_US, timeoutUs / MAX_MARGIN_DIVISOR);
+    }
+
+    private static RequestRejectedException badRequest(String message) {
+        return new RequestRejectedException(HttpResponseStatus.BAD_REQUEST, message);
+    }
+}
--- /dev/null
+++ b/src/main/java/gaugegw/proxy/client/PlainTextResponse.java
@@ -0,0 +1,33 @@
+package gaugegw.proxy.client;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.handler.codec.http.DefaultFullHttpResponse;
+import io.netty.handler.codec.http.FullHttpResponse;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.HttpVersion;
+import java.nio.charset.StandardCharsets;
+
+/** Creates the responses that the proxy itself gives: a status and a line of text. */
+final class PlainTextResponse {
+    private PlainTextResponse() {}
+
+    /** Creates a response, which the caller writes or releases. */
+    static FullHttpResponse of(HttpResponseStatus status, String text) {
+        ByteBuf body = Unpooled.copiedBuffer(text + "\n", StandardCharsets.UTF_8);
+        var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
+        response.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8");
+        HttpUtil.setContentLength(response, body.readableBytes());
+        return response;
+    }
+
+    static FullHttpResponse badRequest(String text) {
+        return of(HttpResponseStatus.BAD_REQUEST, text);
+    }
+
+    static FullHttpResponse tooManyRequests() {
+        return of(HttpResponseStatus.TOO_MANY_REQUESTS, "too many pipelined requests; this one was not executed");
+    }
+}
--- a/src/main/java/gaugegw/proxy/client/RequestAggregator.java
+++ b/src/main/java/gaugegw/proxy/client/RequestAggregator.java
@@ -16,8 +16,8 @@
 import java.util.List;
 
 /**
- * Puts requests together. A head that can't be believed is turned away before its body is waited for, and so is a
- * body that is too long.
+ * Aggregates the parts of a request. A request whose head is invalid, or whose body is too long, is rejected before the
+ * rest of its body is received. Netty's own rejections would overtake the responses to the requests before.
  */
 final class RequestAggregator extends HttpObjectAggregator {
     private final ClientConnection connection;
@@ -29,32 +29,38 @@
 
     @Override
     protected void decode(ChannelHandlerContext ctx, HttpObject part, List<Object> out) throws Exception {
-        FullHttpResponse bad = part instanceof HttpRequest head ? judged(head) : null;
-        if (bad != null) {
+        FullHttpResponse error = part instanceof HttpRequest head ? errorFor(head) : null;
+        if (error != null) {
             ReferenceCountUtil.release(part);
-            connection.part(bad);
+            connection.endWithError(error);
         } else {
             super.decode(ctx, part, out);
         }
     }
 
-    private static FullHttpResponse judged(HttpRequest head) {
+    /** Returns the error that a request is rejected with for its head; null if the head is valid. */
+    private static FullHttpResponse errorFor(HttpRequest head) {
         if (head.decoderResult().isFailure()) {
-            return ClientConnection.plain(HttpResponseStatus.BAD_REQUEST, "not a request that can be read");
+            return PlainTextResponse.badRequest("malformed request");
         }
-        List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        boolean plainChunks = codings.size() == 1
-                && codings.get(0).trim().equalsIgnoreCase("chunked")
-                && head.protocolVersion().equals(HttpVersion.HTTP_1_1);
-        if (!codings.isEmpty() && !plainChunks) {
-            return ClientConnection.plain(HttpResponseStatus.BAD_REQUEST, "a body that is not sent in plain chunks");
+        if (hasUnsupportedCoding(head)) {
+            return PlainTextResponse.badRequest("unsupported transfer coding");
         }
         if (expectsMoreThanContinue(head)) {
-            return ClientConnection.plain(HttpResponseStatus.EXPECTATION_FAILED, "an expectation that is not met");
+            return PlainTextResponse.of(HttpResponseStatus.EXPECTATION_FAILED, "unsupported expectation");
         }
         return null;
     }
 
+    /** Netty takes any body with a coding for chunked: one in another coding would end elsewhere than it reads. */
+    private static boolean hasUnsupportedCoding(HttpRequest head) {
+        List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
+        boolean onlyChunked = codings.size() == 1
+                && codings.get(0).trim().equalsIgnoreCase("chunked")
+                && head.protocolVersion().equals(HttpVersion.HTTP_1_1);
+        return !codings.isEmpty() && !onlyChunked;
+    }
+
     /** RFC 9110, 10.1.1: there is one expectation, and HTTP/1.0 knows none. */
     private static boolean expectsMoreThanContinue(HttpRequest head) {
         String expected = head.headers().get(HttpHeaderNames.EXPECT);
@@ -64,14 +70,17 @@
     }
 
     @Override
-    protected Object newContinueResponse(HttpMessage head, int most, ChannelPipeline pipeline) {
-        // Where the body is too long, that is told in its turn.
-        return isContentLengthInvalid(head, most) ? null : super.newContinueResponse(head, most, pipeline);
+    protected Object newContinueResponse(HttpMessage head, int maxBodyBytes, ChannelPipeline pipeline) {
+        if (isContentLengthInvalid(head, maxBodyBytes)) {
+            // handleOversizedMessage responds, after the requests before this one.
+            return null;
+        }
+        return super.newContinueResponse(head, maxBodyBytes, pipeline);
     }
 
     @Override
     protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-        connection.part(
-                ClientConnection.plain(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is longer than 64 KiB"));
+        connection.endWithError(
+                PlainTextResponse.of(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is longer than 64 KiB"));
     }
 }
