--- a/src/test/java/gaugegw/proxy/testing/FullBacklog.java
+++ b/src/test/java/gaugegw/proxy/testing/FullBacklog.java
@@ -9,17 +9,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A listener that accepts nothing, and whose queue is full: whoever connects to it waits. */
+/** A listener that accepts nothing and whose backlog is full: a connect to it neither succeeds nor fails. */
 public final class FullBacklog implements Closeable {
     private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-    private final List<Socket> crowd = new ArrayList<>();
+    private final List<Socket> fillers = new ArrayList<>();
 
+    /** Connects until the kernel no longer completes a connect. */
     public FullBacklog() throws IOException {
         while (true) {
             var socket = new Socket();
             try {
                 socket.connect(new InetSocketAddress(server.getInetAddress(), server.getLocalPort()), 100);
-                crowd.add(socket);
+                fillers.add(socket);
             } catch (java.net.SocketTimeoutException e) {
                 socket.close();
                 return;
@@ -31,10 +32,10 @@
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    /** Makes room, and returns the connection of whoever has waited: it comes up as its SYN is sent again. */
+    /** Empties the backlog and returns the connection of the client that was waiting: its SYN is sent again. */
     public RawConnection admit() throws IOException {
         server.setSoTimeout(10_000);
-        for (int i = 0; i < crowd.size(); i++) {
+        for (int i = 0; i < fillers.size(); i++) {
             server.accept().close();
         }
         return new RawConnection(server.accept());
@@ -42,7 +43,7 @@
 
     @Override
     public void close() throws IOException {
-        for (Socket socket : crowd) {
+        for (Socket socket : fillers) {
             socket.close();
         }
         server.close();
--- a/src/test/java/gaugegw/proxy/testing/ProxyFixture.java
+++ b/src/test/java/gaugegw/proxy/testing/ProxyFixture.java
@@ -23,7 +23,7 @@
 import java.util.function.Function;
 import java.util.function.UnaryOperator;
 
-/** A proxy on loopback, with a module that does as the test says and keeps what it was told. */
+/** A proxy on loopback whose decision module is given by the test; keeps the module's events and started attempts. */
 public final class ProxyFixture implements Closeable {
     private static final String CONFIG = """
             {"name":"n0","listen":"127.0.0.1:0","discovery":"%s","seed":"92094eb940cf389a",
@@ -49,12 +49,12 @@
     private final ProxyServer serve;
     public final InetSocketAddress address;
 
-    /** Settings under which nothing that a test waits for runs out of time: only what it does itself brings an end. */
+    /** Raises all time limits of the settings to a minute, so that nothing expires while a test waits. */
     public static final UnaryOperator<String> PATIENT =
             config -> config.replaceAll("(aim|deadline|window)_us\":\\d+", "$1_us\":60000000")
                     .replace("connect_timeout_us\":200000", "connect_timeout_us\":60000000");
 
-    /** Does as the module would: gets the events, and says what is to be done. */
+    /** A decision module without a clock. */
     public interface Module {
         void handle(Event event, Consumer<Action> actions);
     }
@@ -67,21 +67,22 @@
         this(settings -> (now, event, actions) -> module.handle(event, actions), sockets, idleUs, c -> c, backends);
     }
 
-    /** A proxy whose configuration is another; see {@link #PATIENT}. */
+    /** A proxy whose configuration is edited; see {@link #PATIENT}. */
     public ProxyFixture(Module module, UnaryOperator<String> edit, ScriptedServer... backends) throws Exception {
         this(settings -> (now, event, actions) -> module.handle(event, actions), 1_024, 15_000_000, edit, backends);
     }
 
-    /** A proxy with the module that it has in service. */
+    /** A proxy with the real decision module. */
     public static ProxyFixture inService(ScriptedServer... backends) throws Exception {
         return inService(c -> c, backends);
     }
 
+    /** A proxy with the real decision module whose configuration is edited. */
     public static ProxyFixture inService(UnaryOperator<String> edit, ScriptedServer... backends) throws Exception {
         return new ProxyFixture(EarliestDeadlineLoadBalancer::new, 1_024, 15_000_000, edit, backends);
     }
 
-    /** A proxy with the module that it has in service, under a limit of descriptors. */
+    /** A proxy with the real decision module under a limit of descriptors. */
     public static ProxyFixture inService(int sockets, ScriptedServer... backends) throws Exception {
         return new ProxyFixture(EarliestDeadlineLoadBalancer::new, sockets, 15_000_000, c -> c, backends);
     }
@@ -124,7 +125,7 @@
         return CONFIG.formatted(discovery, 1_024, "", 15_000_000);
     }
 
-    /** What SIGHUP does. */
+    /** Has the proxy read a new configuration, as SIGHUP does. */
     public void reload(String json) throws IOException {
         Path file = Files.createTempFile("config", ".json");
         try {
@@ -144,7 +145,7 @@
         return "{\"version\":%d,\"full\":%b,\"servers\":[%s]}".formatted(version, full, String.join(",", entries));
     }
 
-    /** A module that sends every request to a backend, and fails it when that goes wrong. */
+    /** A module that makes one attempt for each request, and fails the request if the attempt fails. */
     public static Module sendTo(String backend) {
         return sendTo(backend, 0);
     }
@@ -159,19 +160,19 @@
         };
     }
 
-    /** As {@link #sendTo}, by the list that discovery tells; see {@link #list}. */
+    /** As {@link #sendTo}, but watches the endpoint list first; see {@link #list(String...)}. */
     public static Module watching(String backend) {
-        var asked = new boolean[1];
+        var watches = new boolean[1];
         return (event, actions) -> {
-            if (!asked[0]) {
-                asked[0] = true;
+            if (!watches[0]) {
+                watches[0] = true;
                 actions.accept(new Action.WatchEndpoints(true));
             }
             sendTo(backend).handle(event, actions);
         };
     }
 
-    /** Answers the first call of the watch with a change, and waits for the next. */
+    /** Responds to the first call of the watch with changed entries; returns the connection of the next call. */
     public RawConnection list(String... entries) throws IOException {
         RawConnection watch = discovery.accept();
         watch.read();
@@ -181,13 +182,13 @@
         return next;
     }
 
-    /** A client's request, as the protocol has it. */
+    /** An idempotent request of the protocol. */
     public static String get(String id) {
         return "GET /api?k=u1 HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: " + id
                 + "\r\nX-Priority-Class: read\r\nX-Tenant-Id: acme\r\nX-Timeout: 1900m\r\n\r\n";
     }
 
-    /** A request whose client waits for longer than any test. */
+    /** As {@link #get}, with a timeout longer than any test. */
     public static String patient(String id) {
         return get(id).replace("1900m", "60000m");
     }
@@ -202,14 +203,14 @@
         return RawConnection.to(address);
     }
 
-    /** Waits until the proxy has handled all that came to it before. */
+    /** Waits until the proxy has handled everything that it received before. */
     public void settle() throws IOException {
-        try (RawConnection asker = client()) {
-            asker.send("GET /ready HTTP/1.1\r\n\r\n").read();
+        try (RawConnection probe = client()) {
+            probe.send("GET /ready HTTP/1.1\r\n\r\n").read();
         }
     }
 
-    /** Waits for the next event of a type. */
+    /** Waits for the next event of a type, and drops those before it. */
     public <T extends Event> T next(Class<T> type) throws InterruptedException {
         while (true) {
             Event event = ScriptedServer.next(events);
@@ -219,7 +220,7 @@
         }
     }
 
-    /** Returns the number of requests that want an answer or have attempts out. */
+    /** Returns the number of requests that await a response or have attempts in flight. */
     public int held() {
         return serve.held();
     }
--- a/src/test/java/gaugegw/proxy/testing/ProxyProcess.java
+++ b/src/test/java/gaugegw/proxy/testing/ProxyProcess.java
@@ -18,7 +18,7 @@
 public final class ProxyProcess implements Closeable {
     private static final String LISTENING = "listening on ";
     private static final String CLASS_PATH = classPath();
-    /** In service all classes are in one jar; here each jar of the class path takes a descriptor. */
+    /** The jars of the test class path beyond the one that holds all classes in production; each takes a descriptor. */
     public static final int FURTHER_JARS = (int) jars(Arrays.stream(CLASS_PATH.split(File.pathSeparator, -1))) - 1;
 
     private final Process process;
@@ -30,7 +30,7 @@
     }
 
     /**
-     * Starts the program, whatever signals the tests themselves are started without.
+     * Starts the program with the default signal handling, even if the tests were started with signals ignored.
      *
      * @param shell runs first, in the shell that becomes the program
      */
@@ -49,7 +49,7 @@
         return new ProxyProcess(command.start());
     }
 
-    /** Starts the program with a limit of descriptors that the kernel enforces. */
+    /** Starts the program under a limit of descriptors that the kernel enforces. */
     public static ProxyProcess start(Path config, int descriptors) throws IOException {
         return start(config, "ulimit -n " + descriptors + "; ");
     }
@@ -72,7 +72,7 @@
         return log.stream().anyMatch(line -> line.contains(text));
     }
 
-    /** Waits until it says where it listens. */
+    /** Waits for the log line that names the listening port; returns the port. */
     public int port() throws InterruptedException {
         awaitLog(LISTENING);
         String line =
@@ -80,7 +80,7 @@
         return Integer.parseInt(line.replaceAll(".*" + LISTENING + "(\\d+).*", "$1"));
     }
 
-    /** Returns the number of descriptors that it holds. */
+    /** Returns the number of descriptors that the process has open. */
     public int descriptors() {
         String[] open = new File("/proc/" + process.pid() + "/fd").list();
         if (open == null) {
@@ -89,7 +89,7 @@
         return open.length;
     }
 
-    /** Returns the number of jars that it holds open. */
+    /** Returns the number of jars that the process has open. */
     public long jars() throws IOException {
         try (Stream<Path> open = Files.list(Path.of("/proc/" + process.pid() + "/fd"))) {
             return jars(open.map(ProxyProcess::target));
@@ -121,12 +121,12 @@
         try {
             return Files.readSymbolicLink(descriptor).toString();
         } catch (IOException e) {
-            // Closed meanwhile: it was no jar.
+            // Closed since the directory was listed: not a jar, as those stay open.
             return "";
         }
     }
 
-    /** As in service the classes come from a jar that stays open: loading one late takes no descriptor. */
+    /** Packs the classes into a jar, which stays open as in production: loading one late takes no descriptor. */
     private static String classPath() {
         String[] parts = System.getProperty("java.class.path").split(File.pathSeparator, -1);
         Path classes = Path.of("target", "classes").toAbsolutePath();
@@ -149,7 +149,7 @@
             }
             return jar.toString();
         } catch (IOException e) {
-            throw new IllegalStateException("the classes can't be packed", e);
+            throw new IllegalStateException("could not pack the classes into a jar", e);
         }
     }
 }
--- a/src/test/java/gaugegw/proxy/testing/RawConnection.java
+++ b/src/test/java/gaugegw/proxy/testing/RawConnection.java
@@ -13,16 +13,16 @@
 import java.util.Locale;
 import java.util.Queue;
 
-/** One end of a connection, read and written byte by byte: tests see just what is sent, and when it ends. */
+/** One end of a connection, without an HTTP library: a test sees exactly the bytes that are sent, and when it ends. */
 public final class RawConnection implements Closeable {
-    private static final int PATIENCE_MS = 10_000;
+    private static final int READ_TIMEOUT_MS = 10_000;
 
     public final Socket socket;
     private final InputStream in;
 
     RawConnection(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(READ_TIMEOUT_MS);
         socket.setTcpNoDelay(true);
         in = new BufferedInputStream(socket.getInputStream());
     }
@@ -40,7 +40,7 @@
         return this;
     }
 
-    /** Reads one message: its first line, its headers and its body; null if the connection ends before one begins. */
+    /** Reads one message with a content length; null if the connection ends before its first line. */
     public Message read() throws IOException {
         String first = line();
         if (first == null) {
@@ -56,22 +56,22 @@
         }
         byte[] body = in.readNBytes(length);
         if (body.length < length) {
-            throw new IOException("cut short after " + body.length + " of " + length);
+            throw new IOException("the body ended after " + body.length + " of " + length);
         }
         return new Message(first, headers.toString(), new String(body, StandardCharsets.ISO_8859_1));
     }
 
-    /** Answers every request that comes here from now on, on a thread of its own, and keeps the requests. */
-    public void always(String answer, Queue<Message> seen) {
+    /** Responds to every request from now on, on a thread of its own, and adds the requests to a queue. */
+    public void always(String response, Queue<Message> received) {
         ScriptedServer.background(() -> {
-            for (Message m = read(); m != null; m = read()) {
-                seen.add(m);
-                send(answer);
+            for (Message request = read(); request != null; request = read()) {
+                received.add(request);
+                send(response);
             }
         });
     }
 
-    /** Waits until the other side has ended the connection; returns whether it did so without sending anything. */
+    /** Waits until the other side ends or resets the connection; returns whether it did, without sending anything. */
     public boolean ended() throws IOException {
         try {
             return in.read() < 0;
@@ -82,11 +82,11 @@
         }
     }
 
-    /** As {@link #ended}, where what this side sent may have crossed the close. */
+    /** Reads until the other side ends or resets the connection; returns whether it did. */
     public boolean endedQuietly() throws IOException {
         try {
             while (in.read() >= 0) {
-                // the rest of what was sent
+                // drop what was sent before the end
             }
             return true;
         } catch (java.net.SocketException e) {
@@ -112,6 +112,7 @@
         socket.close();
     }
 
+    /** An HTTP message: its first line, its headers, each line preceded by a line feed, and its body. */
     public record Message(String first, String headers, String body) {
         public int status() {
             return Integer.parseInt(first.split(" ", -1)[1]);
--- a/src/test/java/gaugegw/proxy/testing/ScriptedServer.java
+++ b/src/test/java/gaugegw/proxy/testing/ScriptedServer.java
@@ -13,7 +13,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
-/** A backend, or discovery, played by hand: the test accepts its connections and says what goes over them. */
+/**
+ * A backend or discovery server under the control of a test, which accepts its connections and writes its responses.
+ */
 public final class ScriptedServer implements Closeable {
     private final ServerSocket server;
     private final List<RawConnection> open = new ArrayList<>();
@@ -28,14 +30,14 @@
     }
 
     public RawConnection accept() throws IOException {
-        var wire = new RawConnection(server.accept());
+        var connection = new RawConnection(server.accept());
         synchronized (open) {
-            open.add(wire);
+            open.add(connection);
         }
-        return wire;
+        return connection;
     }
 
-    /** Has a client send a request, and returns the new connection over which the request has come here whole. */
+    /** Has a client send a request; returns the new connection, on which the complete request has been read. */
     public RawConnection attemptFor(RawConnection client, String requestId) throws IOException {
         client.send(ProxyFixture.get(requestId));
         RawConnection attempt = accept();
@@ -43,46 +45,51 @@
         return attempt;
     }
 
-    /** Answers every request in the same way from now on, on threads of its own; returns the requests as they come. */
-    public BlockingQueue<RawConnection.Message> always(String answer) {
-        var seen = new LinkedBlockingQueue<RawConnection.Message>();
+    /**
+     * Responds to every request in the same way from now on, on threads of its own; returns the queue of the requests.
+     */
+    public BlockingQueue<RawConnection.Message> always(String response) {
+        var received = new LinkedBlockingQueue<RawConnection.Message>();
         background(() -> {
             while (true) {
-                accept().always(answer, seen);
+                accept().always(response, received);
             }
         });
-        return seen;
+        return received;
     }
 
+    /** Formats a 200 response. */
     public static String ok(String body) {
         return answer("200 OK", body);
     }
 
+    /** Formats a response with a content length. */
     public static String answer(String status, String body, String... headers) {
         return "HTTP/1.1 " + status + "\r\n" + (headers.length == 0 ? "" : String.join("\r\n", headers) + "\r\n")
                 + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
+    /** Waits for the next element of a queue. */
     public static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
         T next = queue.poll(10, TimeUnit.SECONDS);
         if (next == null) {
-            throw new AssertionError("nothing came");
+            throw new AssertionError("timed out: nothing in the queue");
         }
         return next;
     }
 
-    /** Waits until something holds that no message tells of. */
-    public static void until(BooleanSupplier holds) throws InterruptedException {
-        long from = System.nanoTime();
-        while (!holds.getAsBoolean()) {
-            if (System.nanoTime() - from > 10_000_000_000L) {
-                throw new AssertionError("it never came to that");
+    /** Polls a condition until it holds: for state that no event reports. */
+    public static void until(BooleanSupplier condition) throws InterruptedException {
+        long startNs = System.nanoTime();
+        while (!condition.getAsBoolean()) {
+            if (System.nanoTime() - startNs > 10_000_000_000L) {
+                throw new AssertionError("timed out: the condition does not hold");
             }
             Thread.sleep(1);
         }
     }
 
-    /** Stands still, on the proxy's thread. */
+    /** Blocks the calling thread, in tests the proxy's event loop, until a latch is released. */
     public static void await(CountDownLatch latch) {
         try {
             latch.await();
@@ -91,16 +98,18 @@
         }
     }
 
+    /** Work on a socket that may be closed meanwhile. */
     public interface Work {
         void run() throws IOException;
     }
 
+    /** Runs work on a daemon thread; it ends when its socket is closed. */
     public static void background(Work work) {
         var thread = new Thread(() -> {
             try {
                 work.run();
             } catch (IOException e) {
-                // The test is over, or the other side has hung up: either way there is nothing more to answer.
+                // The test has ended or the other side has disconnected: there is nothing more to respond to.
             }
         });
         thread.setDaemon(true);
@@ -115,8 +124,8 @@
     public void close() throws IOException {
         server.close();
         synchronized (open) {
-            for (RawConnection wire : open) {
-                wire.close();
+            for (RawConnection connection : open) {
+                connection.close();
             }
         }
     }
