--- /dev/null
+++ b/src/test/java/gaugegw/proxy/client/RequestForwardingTest.java
@@ -0,0 +1,102 @@
+package gaugegw.proxy.client;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import gaugegw.balancer.api.Action.Reject;
+import gaugegw.balancer.api.Event.RequestArrived;
+import gaugegw.proxy.testing.ProxyFixture;
+import gaugegw.proxy.testing.RawConnection;
+import gaugegw.proxy.testing.ScriptedServer;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.CountDownLatch;
+import org.junit.jupiter.api.Test;
+
+/** Valid requests on their way to a backend and back. */
+class RequestForwardingTest {
+    /** Request and response pass through unchanged but for the timeout and the hop-by-hop headers. */
+    @Test
+    void forwardsRequestAndResponseUnchanged() throws Exception {
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
+                var client = proxy.client()) {
+            BlockingQueue<RawConnection.Message> received = backend.always(ScriptedServer.answer(
+                    "200 OK", "an\r\n\r\nswer", "Content-Type: a/b", "Connection: X-Hop", "X-Hop: 1"));
+            RawConnection.Message response =
+                    client.send(ProxyFixture.post("r1", "bo\r\n\0dy")).read();
+            RawConnection.Message request = ScriptedServer.next(received);
+            assertThat(request.first()).isEqualTo("POST /api?k=u%201&x HTTP/1.1");
+            assertThat(request.body()).isEqualTo("bo\r\n\0dy");
+            assertThat(request.header("X-Request-ID")).isEqualTo("r1");
+            assertThat(request.header("Idempotency-Key")).isEqualTo("5c0f");
+            assertThat(request.header("X-Timeout")).matches("1[0-9]{6}u");
+            assertThat(response.status()).isEqualTo(200);
+            assertThat(response.body()).isEqualTo("an\r\n\r\nswer");
+            assertThat(response.header("Content-Type")).isEqualTo("a/b");
+            assertThat(response.header("X-Hop")).isNull();
+            RequestArrived arrival = proxy.next(RequestArrived.class);
+            assertThat(arrival.requestClass()).isEqualTo("pay");
+            assertThat(arrival.tenant()).isEqualTo("acme");
+            assertThat(arrival.key()).isEqualTo("u 1");
+            assertThat(arrival.retry()).isFalse();
+            assertThat(arrival.timeoutUs()).isPositive().isLessThan(1_900_000);
+            assertThat(client.send(ProxyFixture.get("r2")).read().status()).isEqualTo(200);
+        }
+    }
+
+    @Test
+    void forwardsBodiesOfTheMaximumSize() throws Exception {
+        String body = "0123456789abcdef".repeat(4_096);
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
+                var client = proxy.client()) {
+            BlockingQueue<RawConnection.Message> received = backend.always(ScriptedServer.ok(body));
+            assertThat(client.send(ProxyFixture.post("r1", body)).read().body()).isEqualTo(body);
+            assertThat(ScriptedServer.next(received).body()).isEqualTo(body);
+        }
+    }
+
+    /** A rejection with a delay carries {@code Retry-After} in seconds; one without a delay has no such header. */
+    @Test
+    void rejectionCarriesRetryAfter() throws Exception {
+        try (var proxy = new ProxyFixture((event, actions) -> {
+                    if (event instanceof RequestArrived a) {
+                        actions.accept(new Reject(a.requestId(), a.requestId().equals("r1") ? 250_000 : 0));
+                    }
+                });
+                var client = proxy.client()) {
+            RawConnection.Message response = client.send(ProxyFixture.get("r1")).read();
+            assertThat(response.status()).isEqualTo(503);
+            assertThat(response.header("Retry-After")).isEqualTo("0.250");
+            response = client.send(ProxyFixture.get("r2")).read();
+            assertThat(response.status()).isEqualTo(503);
+            assertThat(response.header("Retry-After")).isNull();
+        }
+    }
+
+    /**
+     * The event loop is delayed while a request waits to be read. The client's timeout runs from when it sent: if it
+     * were counted from the read, the response would come when the client has given up.
+     */
+    @Test
+    void timeoutRunsWhileTheEventLoopIsDelayed() throws Exception {
+        var release = new CountDownLatch(1);
+        try (var proxy = new ProxyFixture((event, actions) -> {
+                    if (event instanceof RequestArrived a && a.requestId().equals("r1")) {
+                        ScriptedServer.await(release);
+                    }
+                });
+                var one = proxy.client();
+                var two = proxy.client()) {
+            two.send("GET /ready HTTP/1.1\r\n\r\n").read();
+            one.send(ProxyFixture.get("r1"));
+            proxy.next(RequestArrived.class);
+            two.send(ProxyFixture.get("r2"));
+            long sentNs = System.nanoTime();
+            while (System.nanoTime() - sentNs < 400_000_000) {
+                Thread.sleep(10);
+            }
+            release.countDown();
+            assertThat(proxy.next(RequestArrived.class).timeoutUs()).isLessThan(1_500_000);
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/gaugegw/proxy/client/RequestValidationTest.java
@@ -0,0 +1,145 @@
+package gaugegw.proxy.client;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import gaugegw.balancer.api.Event.RequestArrived;
+import gaugegw.proxy.testing.ProxyFixture;
+import gaugegw.proxy.testing.ScriptedServer;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Requests that are rejected before they are dispatched. */
+class RequestValidationTest {
+    private static final ProxyFixture.Module SILENT = (event, actions) -> {};
+
+    /**
+     * A request is invalid. It must not reach a backend or the decision module, and its connection is closed: a faulty
+     * client would send the same again as fast as it is rejected.
+     */
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "X-Priority-Class: read|X-Priority-Class: write|400",
+                "X-Priority-Class: read|X-Other: read|400",
+                "X-Priority-Class: read|X-Priority-Class: pay|405",
+                "X-Request-ID: r1|X-Other: r1|400",
+                "X-Tenant-Id: acme|X-Tenant-Id: nobody|400",
+                "X-Tenant-Id: acme|X-Other: acme|400",
+                "X-Timeout: 1900m|X-Timeout: soon|400",
+                "X-Timeout: 1900m|X-Timeout: 0m|400",
+                "X-Timeout: 1900m|X-Timeout: -5m|400",
+                "X-Timeout: 1900m|X-Timeout: 123456789m|400",
+                "X-Timeout: 1900m|X-Other: 1900m|400",
+                "GET /api?k=u1|GET /apis|404",
+                "GET /api?k=u1|GET /api?k=%zz|400",
+                "GET /api?k=u1|PUT /api|405",
+                "GET /api?k=u1 HTTP/1.1|NONSENSE|400"
+            })
+    void rejectsInvalidRequests(String valid, String invalid, int status) throws Exception {
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
+                var client = proxy.client()) {
+            assertThat(client.send(ProxyFixture.get("r1").replace(valid, invalid))
+                            .read()
+                            .status())
+                    .isEqualTo(status);
+            assertThat(client.ended()).isTrue();
+            backend.always(ScriptedServer.ok("x"));
+            assertThat(proxy.client().send(ProxyFixture.get("good")).read().status())
+                    .isEqualTo(200);
+            assertThat(proxy.next(RequestArrived.class).requestId()).isEqualTo("good");
+        }
+    }
+
+    /** Proxy and backend may disagree on where such a request ends: a second request could be smuggled in its body. */
+    @ParameterizedTest
+    @ValueSource(
+            strings = {
+                "Content-Length: 40\r\nTransfer-Encoding: chunked",
+                "Transfer-Encoding: chunked\r\nContent-Length: 3",
+                "Content-Length: 3\r\nContent-Length: 4",
+                "Content-Length: 3\r\nContent-Length: 3",
+                "Content-Length: -3",
+                "Content-Length: three",
+                "Content-Length: +3",
+                "Content-Length: 3, 3",
+                "Content-Length: 99999999999999999999",
+                "Transfer-Encoding: gzip, chunked",
+                "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked",
+                "Transfer-Encoding: identity",
+                "Transfer-Encoding : chunked",
+                "a line with no colon",
+                "nocolon"
+            })
+    void rejectsAmbiguousFraming(String framingHeaders) throws Exception {
+        try (var proxy = new ProxyFixture(SILENT);
+                var client = proxy.client()) {
+            String head = ProxyFixture.post("r1", "").replace("Content-Length: 0", framingHeaders);
+            assertThat(client.send(head + "0\r\n\r\n" + ProxyFixture.get("hidden"))
+                            .read()
+                            .status())
+                    .isBetween(400, 499);
+            assertThat(client.ended()).isTrue();
+            assertThat(proxy.events).noneMatch(RequestArrived.class::isInstance);
+        }
+    }
+
+    /** HTTP/1.0 has no transfer codings: the end of such a request is ambiguous too. */
+    @Test
+    void rejectsChunkedBodyOfHttp10() throws Exception {
+        try (var proxy = new ProxyFixture(SILENT);
+                var client = proxy.client()) {
+            client.send(ProxyFixture.post("r1", "")
+                            .replace("HTTP/1.1", "HTTP/1.0")
+                            .replace("Content-Length: 0", "Transfer-Encoding: chunked")
+                    + "0\r\n\r\n");
+            assertThat(client.read().status()).isEqualTo(400);
+            assertThat(client.ended()).isTrue();
+        }
+    }
+
+    /** Control characters in the request target could end the request line that the proxy writes to the backend. */
+    @Test
+    void rejectsControlCharactersInTheTarget() throws Exception {
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend)) {
+            for (String target : List.of("/api?k=a\rb", "/api?k=a\0b", "/api?k=a\u007fb")) {
+                try (var client = proxy.client()) {
+                    assertThat(client.send(ProxyFixture.get("r1").replace("/api?k=u1", target))
+                                    .read()
+                                    .status())
+                            .isEqualTo(400);
+                }
+            }
+            assertThat(proxy.events).noneMatch(RequestArrived.class::isInstance);
+        }
+    }
+
+    /** Without its key a repeated request would not be recognized as such by the backend. */
+    @Test
+    void rejectsMissingIdempotencyKey() throws Exception {
+        try (var proxy = new ProxyFixture(SILENT);
+                var client = proxy.client()) {
+            assertThat(client.send(ProxyFixture.post("r1", "x").replace("Idempotency-Key", "X-Other"))
+                            .read()
+                            .status())
+                    .isEqualTo(400);
+        }
+    }
+
+    /** Two requests with one id could not be distinguished; the second is rejected while the first is in flight. */
+    @Test
+    void rejectsIdThatIsInFlight() throws Exception {
+        try (var proxy = new ProxyFixture(SILENT);
+                var one = proxy.client();
+                var two = proxy.client()) {
+            one.send(ProxyFixture.get("r1"));
+            proxy.next(RequestArrived.class);
+            assertThat(two.send(ProxyFixture.get("r1")).read().status()).isEqualTo(409);
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/gaugegw/proxy/client/UnreadDisconnectTest.java
@@ -0,0 +1,192 @@
+package gaugegw.proxy.client;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import gaugegw.balancer.api.Action.Reject;
+import gaugegw.balancer.api.Action.StartAttempt;
+import gaugegw.balancer.api.AttemptOutcome;
+import gaugegw.balancer.api.Event.AttemptEnded;
+import gaugegw.balancer.api.Event.ClientDisconnected;
+import gaugegw.balancer.api.Event.RequestArrived;
+import gaugegw.proxy.testing.FullBacklog;
+import gaugegw.proxy.testing.ProxyFixture;
+import gaugegw.proxy.testing.RawConnection;
+import gaugegw.proxy.testing.ScriptedServer;
+import java.io.IOException;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/**
+ * Clients that disconnect while the event loop is busy: their close lies unread in the kernel when an attempt is about
+ * to begin. No attempt may begin for a client that has gone.
+ */
+class UnreadDisconnectTest {
+    private static final ProxyFixture.Module SILENT = (event, actions) -> {};
+
+    /** Blocks the event loop until a latch is released. */
+    private static void block(CountDownLatch latch) {
+        try {
+            assertThat(latch.await(10, TimeUnit.SECONDS)).isTrue();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /** Disconnects, and waits until the proxy's last read of the connection is long enough ago for it to read again. */
+    private static void disconnectUnread(RawConnection client, String kind) throws Exception {
+        if (kind.equals("end")) {
+            client.socket.shutdownOutput();
+        } else {
+            ClientDisconnectTest.disconnect(client, kind.equals("reset"));
+        }
+        long startNs = System.nanoTime();
+        ScriptedServer.until(() -> System.nanoTime() - startNs > 40_000_000);
+    }
+
+    /**
+     * The event loop is blocked while a client disconnects. After that the response to {@code r1} brings the first
+     * attempt of {@code r2}, which was queued, or a retry of {@code r1}: it must not begin for a client that has gone.
+     */
+    @ParameterizedTest
+    @CsvSource({"r2,close", "r2,reset", "r2,end", "r1,close", "r1,reset", "r1,end"})
+    @Timeout(30)
+    void noAttemptBeginsWhileACloseIsUnread(String id, String kind) throws Exception {
+        var release = new CountDownLatch(1);
+        ProxyFixture.Module module = (event, actions) -> {
+            if (event instanceof RequestArrived a && !a.requestId().equals("r2")) {
+                actions.accept(new StartAttempt(a.requestId(), "s0", 0));
+            } else if (event instanceof AttemptEnded e && e.outcome() == AttemptOutcome.ERROR) {
+                block(release);
+                actions.accept(new StartAttempt(id, "s0", 0));
+            }
+        };
+        try (var backend = new ScriptedServer();
+                var proxy = new ProxyFixture(module, ProxyFixture.PATIENT, backend);
+                var first = proxy.client().send(ProxyFixture.patient("r1"));
+                var queued = proxy.client()) {
+            RawConnection attempt = backend.accept();
+            attempt.read();
+            queued.send(ProxyFixture.patient("r2"));
+            while (!proxy.next(RequestArrived.class).requestId().equals("r2")) {
+                // skip the request before
+            }
+            try {
+                attempt.send(ScriptedServer.answer("500 Internal Server Error", "x"));
+                proxy.next(AttemptEnded.class);
+                disconnectUnread(id.equals("r1") ? first : queued, kind);
+            } finally {
+                release.countDown();
+            }
+            try (var next = proxy.client()) {
+                next.send(ProxyFixture.patient("next"));
+                assertThat(attempt.read().header("X-Request-ID")).isEqualTo("next");
+                assertThat(proxy.next(ClientDisconnected.class).requestId()).isEqualTo(id);
+                AttemptEnded ended = proxy.next(AttemptEnded.class);
+                assertThat(ended.requestId()).isEqualTo(id);
+                assertThat(ended.outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
+                assertThat(ended.requestEnded()).isTrue();
+            }
+        }
+    }
+
+    /**
+     * The connection for an attempt comes up, then the client disconnects, and the blocked event loop has seen neither.
+     * The request must not be written.
+     */
+    @ParameterizedTest
+    @ValueSource(strings = {"close", "reset", "end"})
+    @Timeout(30)
+    void nothingIsWrittenToANewConnectionWhileACloseIsUnread(String kind) throws Exception {
+        var release = new CountDownLatch(1);
+        ProxyFixture.Module module = (event, actions) -> {
+            if (event instanceof RequestArrived a && a.requestId().equals("hold")) {
+                block(release);
+            } else {
+                ProxyFixture.sendTo("s0").handle(event, actions);
+            }
+        };
+        try (var backend = new FullBacklog();
+                var proxy = new ProxyFixture(module, ClientDisconnectTest.withEndpoint(backend));
+                var client = proxy.client().send(ProxyFixture.patient("r1"));
+                var holding = proxy.client()) {
+            proxy.next(RequestArrived.class);
+            proxy.settle();
+            RawConnection attempt;
+            try {
+                holding.send(ProxyFixture.patient("hold"));
+                proxy.next(RequestArrived.class);
+                attempt = backend.admit();
+                disconnectUnread(client, kind);
+            } finally {
+                release.countDown();
+            }
+            try (attempt) {
+                assertThat(attempt.ended()).isTrue();
+            }
+            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
+        }
+    }
+
+    /**
+     * Clients send a request and disconnect while the event loop is blocked. Their connections are read to the end
+     * before anything is dispatched, so that no attempt is made for them.
+     */
+    @Test
+    void requestWhoseClientHasDisconnectedIsNotDispatched() throws Exception {
+        var release = new CountDownLatch(1);
+        ProxyFixture.Module module = (event, actions) -> {
+            if (event instanceof RequestArrived a && a.requestId().equals("first")) {
+                ScriptedServer.await(release);
+            }
+            if (event instanceof RequestArrived a) {
+                actions.accept(new Reject(a.requestId(), 0));
+            }
+        };
+        try (var proxy = new ProxyFixture(module);
+                var first = proxy.client()) {
+            first.send(ProxyFixture.get("first"));
+            proxy.next(RequestArrived.class);
+            for (int i = 0; i < 5; i++) {
+                try (var disconnected = proxy.client()) {
+                    disconnected.send(ProxyFixture.get("gone" + i));
+                }
+            }
+            try (var late = proxy.client()) {
+                late.send(ProxyFixture.get("late"));
+                release.countDown();
+                assertThat(late.read().status()).isEqualTo(503);
+            }
+            assertThat(proxy.next(RequestArrived.class).requestId()).isEqualTo("late");
+        }
+    }
+
+    /**
+     * A client sends a flood of bytes behind its request and disconnects. If they stayed unread, they would hide its
+     * close.
+     */
+    @ParameterizedTest
+    @ValueSource(booleans = {false, true})
+    void disconnectBehindUnservedBytesIsNoticed(boolean reset) throws Exception {
+        try (var proxy = new ProxyFixture(SILENT);
+                var client = proxy.client()) {
+            client.send(ProxyFixture.patient("r1") + "RUBBISH\r\n\r\n");
+            proxy.next(RequestArrived.class);
+            String chunk = "x".repeat(65_536);
+            try {
+                for (int i = 0; i < 16; i++) {
+                    client.send(chunk);
+                }
+            } catch (IOException e) {
+                // The proxy may close the connection before all of it is written.
+            }
+            ClientDisconnectTest.disconnect(client, reset);
+            assertThat(proxy.next(ClientDisconnected.class).requestId()).isEqualTo("r1");
+            ScriptedServer.until(() -> proxy.connected() == 0);
+        }
+    }
+}
