--- a/src/test/java/gaugegw/balancer/EndpointChurnTest.java
+++ b/src/test/java/gaugegw/balancer/EndpointChurnTest.java
@@ -32,7 +32,7 @@
             }
             proxy.now += S;
         }
-        assertThat(proxy.policy.remembered()).isLessThan(10);
+        assertThat(proxy.policy.trackedStateSize()).isLessThan(10);
     }
 
     /** A process that starts anew under its id is not held to what was seen of the last one. */
