--- a/src/test/java/gaugegw/balancer/EndpointChurnTest.java
+++ b/src/test/java/gaugegw/balancer/EndpointChurnTest.java
@@ -1,10 +1,10 @@
 package gaugegw.balancer;
 
-import static gaugegw.balancer.LoadBalancerDriver.READ;
-import static gaugegw.balancer.LoadBalancerDriver.S;
-import static gaugegw.balancer.LoadBalancerDriver.backend;
-import static gaugegw.balancer.LoadBalancerDriver.in;
-import static gaugegw.balancer.LoadBalancerDriver.started;
+import static gaugegw.balancer.testing.TestEndpoints.endpoint;
+import static gaugegw.balancer.testing.TestEndpoints.endpointInState;
+import static gaugegw.balancer.testing.TestEndpoints.endpointStartedAt;
+import static gaugegw.balancer.testing.TestSettings.READ;
+import static gaugegw.balancer.testing.TestSettings.SECONDS;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gaugegw.balancer.api.AttemptOutcome;
@@ -21,39 +21,41 @@
     /** Nothing is kept of what is gone, or the memory of a proxy grows with each backend it ever knew. */
     @Test
     void forgetsWhatIsGone() {
-        proxy.list(backend("s0"), backend("s1"));
+        proxy.snapshot(endpoint("s0"), endpoint("s1"));
         for (int i = 0; i < 5_000; i++) {
-            String id = proxy.arrive(READ);
-            proxy.feed(new EndpointUpdate(
+            String id = proxy.submit(READ);
+            proxy.handle(new EndpointUpdate(
                     UpdateKind.DELTA,
-                    List.of(in(EndpointState.READY, "s" + (i + 2)), in(EndpointState.GONE, "s" + i))));
-            if (proxy.sends(id) > 0) {
-                proxy.end(id, AttemptOutcome.SUCCESS, 20_000);
+                    List.of(
+                            endpointInState("s" + (i + 2), EndpointState.READY),
+                            endpointInState("s" + i, EndpointState.GONE))));
+            if (proxy.attemptCount(id) > 0) {
+                proxy.endAttempt(id, AttemptOutcome.SUCCESS, 20_000);
             }
-            proxy.now += S;
+            proxy.nowUs += SECONDS;
         }
-        assertThat(proxy.policy.remembered()).isLessThan(10);
+        assertThat(proxy.balancer.remembered()).isLessThan(10);
     }
 
     /** A process that starts anew under its id is not held to what was seen of the last one. */
     @Test
     void trustsANewProcessUnderAnOldId() {
-        proxy.list(started("a", 1), started("b", 1), started("c", 1));
+        proxy.snapshot(endpointStartedAt("a", 1), endpointStartedAt("b", 1), endpointStartedAt("c", 1));
         boolean failed = false;
         for (int i = 0; i < 20; i++) {
-            String id = proxy.arrive(READ);
-            boolean a = proxy.lastSend(id).endpointId().equals("a");
-            proxy.end(id, a ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.SUCCESS, 20_000);
+            String id = proxy.submit(READ);
+            boolean a = proxy.lastAttempt(id).endpointId().equals("a");
+            proxy.endAttempt(id, a ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.SUCCESS, 20_000);
             assertThat(a && failed).as("a failed and is sent to again").isFalse();
             failed |= a;
         }
         assertThat(failed).isTrue();
-        proxy.feed(new EndpointUpdate(UpdateKind.DELTA, List.of(started("a", 2))));
+        proxy.handle(new EndpointUpdate(UpdateKind.DELTA, List.of(endpointStartedAt("a", 2))));
         boolean sent = false;
         for (int i = 0; i < 20; i++) {
-            String id = proxy.arrive(READ);
-            sent |= proxy.lastSend(id).endpointId().equals("a");
-            proxy.end(id, AttemptOutcome.SUCCESS, 20_000);
+            String id = proxy.submit(READ);
+            sent |= proxy.lastAttempt(id).endpointId().equals("a");
+            proxy.endAttempt(id, AttemptOutcome.SUCCESS, 20_000);
         }
         assertThat(sent).isTrue();
     }
--- a/src/test/java/gaugegw/balancer/EndpointSelectionTest.java
+++ b/src/test/java/gaugegw/balancer/EndpointSelectionTest.java
@@ -1,16 +1,20 @@
 package gaugegw.balancer;
 
-import static gaugegw.balancer.LoadBalancerDriver.MS;
-import static gaugegw.balancer.LoadBalancerDriver.READ;
-import static gaugegw.balancer.LoadBalancerDriver.S;
-import static gaugegw.balancer.LoadBalancerDriver.VOTE;
-import static gaugegw.balancer.LoadBalancerDriver.backend;
+import static gaugegw.balancer.testing.TestEndpoints.endpoint;
+import static gaugegw.balancer.testing.TestEndpoints.endpointBuilder;
+import static gaugegw.balancer.testing.TestEndpoints.endpointIn;
+import static gaugegw.balancer.testing.TestEndpoints.endpointOfKind;
+import static gaugegw.balancer.testing.TestEndpoints.endpointStartedAt;
+import static gaugegw.balancer.testing.TestSettings.MILLIS;
+import static gaugegw.balancer.testing.TestSettings.PAY;
+import static gaugegw.balancer.testing.TestSettings.READ;
+import static gaugegw.balancer.testing.TestSettings.SECONDS;
+import static gaugegw.balancer.testing.TestSettings.VOTE;
+import static gaugegw.balancer.testing.TestSettings.readOnlySettings;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gaugegw.balancer.api.AttemptOutcome;
-import gaugegw.balancer.api.BalancerSettings;
 import gaugegw.balancer.api.Endpoint;
-import gaugegw.balancer.api.EndpointState;
 import gaugegw.balancer.api.Event;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -27,14 +31,14 @@
 
     @Test
     void worksThePapersTwoEndpointExample() {
-        proxy.list(
-                new Endpoint("d1", EndpointState.READY, "one", "a", 1, 0, 1),
-                new Endpoint("d2", EndpointState.READY, "two", "a", 1, 0, 2));
+        proxy.snapshot(
+                endpointBuilder("d1").kind("one").build(),
+                endpointBuilder("d2").kind("two").weight(2).build());
         var order = new ArrayList<String>();
         for (int i = 0; i < 3; i++) {
-            String id = proxy.arrive(READ);
-            order.add(proxy.lastSend(id).endpointId());
-            proxy.end(id, AttemptOutcome.SUCCESS, MS);
+            String id = proxy.submit(READ);
+            order.add(proxy.lastAttempt(id).endpointId());
+            proxy.endAttempt(id, AttemptOutcome.SUCCESS, MILLIS);
         }
         // Deadlines 1/1 and 1/2: d2; then 1/1 and 2/2, a tie that the first listed takes; then 2/1 and 2/2: d2.
         assertThat(order).containsExactly("d2", "d1", "d2");
@@ -42,7 +46,7 @@
 
     @Test
     void fasterKindsGetMoreInProportionToTheirSpeed() {
-        proxy.list(backend("fast", "f", "a", 1), backend("slow", "s", "a", 1));
+        proxy.snapshot(endpointOfKind("fast", "f"), endpointOfKind("slow", "s"));
         for (int i = 0; i < 200; i++) {
             serveAtSpeed();
         }
@@ -54,48 +58,48 @@
     }
 
     private String serveAtSpeed() {
-        String id = proxy.arrive(READ);
-        long latency = proxy.lastSend(id).endpointId().equals("fast") ? 10 * MS : 20 * MS;
-        proxy.now += latency;
-        proxy.end(id, AttemptOutcome.SUCCESS, latency);
-        return proxy.lastSend(id).endpointId();
+        String id = proxy.submit(READ);
+        long latency = proxy.lastAttempt(id).endpointId().equals("fast") ? 10 * MILLIS : 20 * MILLIS;
+        proxy.nowUs += latency;
+        proxy.endAttempt(id, AttemptOutcome.SUCCESS, latency);
+        return proxy.lastAttempt(id).endpointId();
     }
 
     @Test
     void equalBackendsTakeTurns() {
-        proxy.list(backend("a"), backend("b"), backend("c"));
+        proxy.snapshot(endpoint("a"), endpoint("b"), endpoint("c"));
         var order = new ArrayList<String>();
         for (int i = 0; i < 6; i++) {
-            order.add(proxy.serve(READ, MS));
+            order.add(proxy.serve(READ, MILLIS));
         }
         assertThat(order.subList(0, 3)).containsExactlyInAnyOrder("a", "b", "c").isEqualTo(order.subList(3, 6));
     }
 
     @Test
     void aNewBackendDoesNotGetTheTurnsItMissed() {
-        proxy.list(backend("a"), backend("b"));
+        proxy.snapshot(endpoint("a"), endpoint("b"));
         for (int i = 0; i < 20; i++) {
-            proxy.serve(READ, MS);
+            proxy.serve(READ, MILLIS);
         }
-        proxy.list(backend("a"), backend("b"), backend("c"));
-        var next = List.of(proxy.serve(READ, MS), proxy.serve(READ, MS), proxy.serve(READ, MS));
+        proxy.snapshot(endpoint("a"), endpoint("b"), endpoint("c"));
+        var next = List.of(proxy.serve(READ, MILLIS), proxy.serve(READ, MILLIS), proxy.serve(READ, MILLIS));
         assertThat(next).containsExactlyInAnyOrder("a", "b", "c");
     }
 
     @Test
     void aClassThatFailsAtABackendGoesElsewhereAndTheOthersStay() {
-        proxy.list(backend("a"), backend("b"), backend("c"));
+        proxy.snapshot(endpoint("a"), endpoint("b"), endpoint("c"));
         Map<String, Integer> reads = new HashMap<>();
         int failed = 0;
         for (int i = 0; i < 300; i++) {
-            reads.merge(proxy.serve(READ, 10 * MS), 1, Integer::sum);
-            String id = proxy.arrive(LoadBalancerDriver.VOTE);
-            proxy.now += 10 * MS;
-            boolean ill = proxy.lastSend(id).endpointId().equals("a");
+            reads.merge(proxy.serve(READ, 10 * MILLIS), 1, Integer::sum);
+            String id = proxy.submit(VOTE);
+            proxy.nowUs += 10 * MILLIS;
+            boolean ill = proxy.lastAttempt(id).endpointId().equals("a");
             failed += ill ? 1 : 0;
-            proxy.end(id, ill ? AttemptOutcome.ERROR : AttemptOutcome.SUCCESS, 10 * MS);
+            proxy.endAttempt(id, ill ? AttemptOutcome.ERROR : AttemptOutcome.SUCCESS, 10 * MILLIS);
             if (ill) {
-                proxy.end(id, AttemptOutcome.SUCCESS, 10 * MS);
+                proxy.endAttempt(id, AttemptOutcome.SUCCESS, 10 * MILLIS);
             }
         }
         // Six seconds: put off for 1.2, 2.4 and 4.8 of them.
@@ -106,25 +110,25 @@
     /** Where connections break now and then, whoever holds them, the backends that answer a class still get it all. */
     @Test
     void strayResetsDoNotSendAClassBackToWhereItFails() {
-        proxy.list(IntStream.range(0, 10).mapToObj(i -> backend("b" + i)).toArray(Endpoint[]::new));
+        proxy.snapshot(IntStream.range(0, 10).mapToObj(i -> endpoint("b" + i)).toArray(Endpoint[]::new));
         var chance = new Random(1);
         var out = new ArrayDeque<String>();
         int failed = 0;
         for (int i = 0; i < 2000; i++) {
-            proxy.now += 5 * MS;
-            out.add(proxy.arrive(VOTE));
+            proxy.nowUs += 5 * MILLIS;
+            out.add(proxy.submit(VOTE));
             String id = out.size() > 4 ? out.remove() : null;
-            if (id == null || proxy.lastSend(id) == null) {
+            if (id == null || proxy.lastAttempt(id) == null) {
                 continue;
             }
-            boolean ill = proxy.lastSend(id).endpointId().compareTo("b4") >= 0 && chance.nextInt(10) < 7;
+            boolean ill = proxy.lastAttempt(id).endpointId().compareTo("b4") >= 0 && chance.nextInt(10) < 7;
             failed += ill ? 1 : 0;
-            proxy.end(
+            proxy.endAttempt(
                     id,
                     chance.nextInt(14) == 0
                             ? AttemptOutcome.RESET
                             : ill ? AttemptOutcome.ERROR : AttemptOutcome.SUCCESS,
-                    20 * MS);
+                    20 * MILLIS);
         }
         // Ten seconds: some to see it at each of the six, and some after each pause of 1.2, 2.4 and 4.8 s.
         assertThat(failed).isLessThan(150);
@@ -133,16 +137,16 @@
     /** Where one answer in twenty is spoilt on its way, whoever gave it, that puts nobody off: the rest has its load. */
     @Test
     void errorsThatAreCommonEverywherePutNobodyOff() {
-        proxy.list(backend("a"), backend("b"), backend("c"));
+        proxy.snapshot(endpoint("a"), endpoint("b"), endpoint("c"));
         Map<String, Integer> last = new HashMap<>();
         for (int i = 0; i < 600; i++) {
-            String id = proxy.arrive(READ);
-            last.put(proxy.lastSend(id).endpointId(), i);
-            proxy.now += 10 * MS;
+            String id = proxy.submit(READ);
+            last.put(proxy.lastAttempt(id).endpointId(), i);
+            proxy.nowUs += 10 * MILLIS;
             if (i % 20 == 19) {
-                proxy.end(id, AttemptOutcome.ERROR, 10 * MS);
+                proxy.endAttempt(id, AttemptOutcome.ERROR, 10 * MILLIS);
             }
-            proxy.end(id, AttemptOutcome.SUCCESS, 10 * MS);
+            proxy.endAttempt(id, AttemptOutcome.SUCCESS, 10 * MILLIS);
             if (i > 300) {
                 int now = i;
                 assertThat(last)
@@ -154,41 +158,41 @@
 
     @Test
     void aClassThatFailsEverywhereIsSentAllTheSame() {
-        proxy.list(backend("a"), backend("b"));
+        proxy.snapshot(endpoint("a"), endpoint("b"));
         for (int i = 0; i < 20; i++) {
-            String id = proxy.arrive(LoadBalancerDriver.VOTE);
-            assertThat(proxy.sends(id)).isEqualTo(1);
-            proxy.now += 10 * MS;
-            proxy.end(id, AttemptOutcome.ERROR, 10 * MS);
+            String id = proxy.submit(VOTE);
+            assertThat(proxy.attemptCount(id)).isEqualTo(1);
+            proxy.nowUs += 10 * MILLIS;
+            proxy.endAttempt(id, AttemptOutcome.ERROR, 10 * MILLIS);
         }
     }
 
     @Test
     void aBackendSlowerThanItsKindLosesWeight() {
-        proxy.list(backend("a"), backend("b"), backend("lame"));
+        proxy.snapshot(endpoint("a"), endpoint("b"), endpoint("lame"));
         Map<String, Integer> turns = new HashMap<>();
         for (int i = 0; i < 600; i++) {
-            String id = proxy.arrive(READ);
-            String to = proxy.lastSend(id).endpointId();
+            String id = proxy.submit(READ);
+            String to = proxy.lastAttempt(id).endpointId();
             turns.merge(to, 1, Integer::sum);
-            long latency = to.equals("lame") ? 200 * MS : 20 * MS;
-            proxy.now += latency;
-            proxy.end(id, AttemptOutcome.SUCCESS, latency);
+            long latency = to.equals("lame") ? 200 * MILLIS : 20 * MILLIS;
+            proxy.nowUs += latency;
+            proxy.endAttempt(id, AttemptOutcome.SUCCESS, latency);
         }
         assertThat(turns.get("lame")).isLessThan(turns.get("a") / 2);
     }
 
     @Test
     void aBackendThatDoesNotAnswerHoldsNoMoreThanItsShare() {
-        proxy.list(backend("a"), backend("hung"));
+        proxy.snapshot(endpoint("a"), endpoint("hung"));
         int stuck = 0;
         for (int i = 0; i < 50; i++) {
-            String id = proxy.arrive(READ);
-            if (proxy.lastSend(id).endpointId().equals("hung")) {
+            String id = proxy.submit(READ);
+            if (proxy.lastAttempt(id).endpointId().equals("hung")) {
                 stuck++;
             } else {
-                proxy.now += 10 * MS;
-                proxy.end(id, AttemptOutcome.SUCCESS, 10 * MS);
+                proxy.nowUs += 10 * MILLIS;
+                proxy.endAttempt(id, AttemptOutcome.SUCCESS, 10 * MILLIS);
             }
         }
         assertThat(stuck).isEqualTo(1);
@@ -196,34 +200,27 @@
 
     @Test
     void aKeyGoesWhereAllProxiesKeepItWarmWhileThatBackendHasRoom() {
-        var backends = new Endpoint[] {backend("a"), backend("b"), backend("c"), backend("d")};
+        var backends = new Endpoint[] {endpoint("a"), endpoint("b"), endpoint("c"), endpoint("d")};
         var homes = new HashMap<String, String>();
         for (long seed = 1; seed <= 3; seed++) {
-            var p = new LoadBalancerDriver(new BalancerSettings(
-                    3,
-                    0,
-                    "a",
-                    MS,
-                    List.of(READ),
-                    List.of(),
-                    1,
-                    true,
-                    LoadBalancerDriver.LIMITS,
-                    LoadBalancerDriver.RULES,
-                    seed));
-            p.list(backends);
+            var p = new LoadBalancerDriver(readOnlySettings()
+                    .proxy(0, 3)
+                    .cacheAffinity(true)
+                    .seed(seed)
+                    .build());
+            p.snapshot(backends);
             for (int i = 0; i < 40; i++) {
                 String key = "key" + i;
-                p.feed(new Event.RequestArrived("k" + i, "read", null, key, 2 * S, false));
-                String to = p.lastSend("k" + i).endpointId();
+                p.handle(new Event.RequestArrived("k" + i, "read", null, key, 2 * SECONDS, false));
+                String to = p.lastAttempt("k" + i).endpointId();
                 assertThat(homes.putIfAbsent(key, to)).isIn(null, to);
                 if (i % 4 != 0) {
-                    p.end("k" + i, AttemptOutcome.SUCCESS, MS);
+                    p.endAttempt("k" + i, AttemptOutcome.SUCCESS, MILLIS);
                 } else {
-                    p.feed(new Event.RequestArrived("again" + i, "read", null, key, 2 * S, false));
-                    assertThat(p.lastSend("again" + i).endpointId()).isNotEqualTo(to);
-                    p.end("again" + i, AttemptOutcome.SUCCESS, MS);
-                    p.end("k" + i, AttemptOutcome.SUCCESS, MS);
+                    p.handle(new Event.RequestArrived("again" + i, "read", null, key, 2 * SECONDS, false));
+                    assertThat(p.lastAttempt("again" + i).endpointId()).isNotEqualTo(to);
+                    p.endAttempt("again" + i, AttemptOutcome.SUCCESS, MILLIS);
+                    p.endAttempt("k" + i, AttemptOutcome.SUCCESS, MILLIS);
                 }
             }
         }
@@ -232,19 +229,19 @@
 
     @Test
     void theOwnZoneComesFirstWhileItHasRoom() {
-        proxy.list(backend("far", "std", "b", 2), backend("near", "std", "a", 1));
+        proxy.snapshot(endpointIn("far", "b", 2), endpointIn("near", "a", 1));
         int near = 0;
         for (int i = 0; i < 10; i++) {
-            near += proxy.serve(READ, MS).equals("near") ? 1 : 0;
+            near += proxy.serve(READ, MILLIS).equals("near") ? 1 : 0;
         }
         assertThat(near).as("four times the turns, not all").isEqualTo(8);
-        proxy.arrive(READ);
-        proxy.arrive(READ);
-        String third = proxy.arrive(READ);
-        String fourth = proxy.arrive(READ);
+        proxy.submit(READ);
+        proxy.submit(READ);
+        String third = proxy.submit(READ);
+        String fourth = proxy.submit(READ);
         assertThat(List.of(
-                        proxy.lastSend(third).endpointId(),
-                        proxy.lastSend(fourth).endpointId()))
+                        proxy.lastAttempt(third).endpointId(),
+                        proxy.lastAttempt(fourth).endpointId()))
                 .contains("far");
     }
 
@@ -252,9 +249,12 @@
     void equalEventsGiveEqualActions() {
         var other = new LoadBalancerDriver();
         for (LoadBalancerDriver p : List.of(proxy, other)) {
-            p.list(backend("a"), backend("b", "k", "b", 2), LoadBalancerDriver.started("c", p.now - S));
+            p.snapshot(
+                    endpoint("a"),
+                    endpointBuilder("b").kind("k").zone("b").cell(2).build(),
+                    endpointStartedAt("c", p.nowUs - SECONDS));
             for (int i = 0; i < 300; i++) {
-                p.serve(i % 3 == 0 ? LoadBalancerDriver.PAY : READ, (i * 7919L % 40 + 1) * MS);
+                p.serve(i % 3 == 0 ? PAY : READ, (i * 7919L % 40 + 1) * MILLIS);
             }
         }
         assertThat(proxy.actions).isEqualTo(other.actions);
@@ -263,16 +263,16 @@
     @Test
     void aBackendThatCannotBeReachedIsTriedEverMoreSeldom() {
         var p = new LoadBalancerDriver();
-        p.list(backend("a"), backend("b"), backend("c"), backend("lost"));
+        p.snapshot(endpoint("a"), endpoint("b"), endpoint("c"), endpoint("lost"));
         int tried = 0;
         for (int i = 0; i < 600; i++) {
-            String id = p.arrive(READ);
-            p.now += 10 * MS;
-            if (p.lastSend(id).endpointId().equals("lost")) {
+            String id = p.submit(READ);
+            p.nowUs += 10 * MILLIS;
+            if (p.lastAttempt(id).endpointId().equals("lost")) {
                 tried++;
-                p.end(id, AttemptOutcome.CONNECT_FAILED, 10 * MS);
+                p.endAttempt(id, AttemptOutcome.CONNECT_FAILED, 10 * MILLIS);
             }
-            p.end(id, AttemptOutcome.SUCCESS, 10 * MS);
+            p.endAttempt(id, AttemptOutcome.SUCCESS, 10 * MILLIS);
         }
         // Six seconds: put off for 1.2, 2.4 and 4.8 of them.
         assertThat(tried).isBetween(2, 3);
@@ -281,29 +281,29 @@
     @Test
     void ifNearlyNoneCanBeReachedAllAreTriedOn() {
         var p = new LoadBalancerDriver();
-        p.list(backend("a"), backend("b"));
+        p.snapshot(endpoint("a"), endpoint("b"));
         for (int i = 0; i < 20; i++) {
-            String id = p.arrive(VOTE);
-            assertThat(p.sends(id)).isPositive();
+            String id = p.submit(VOTE);
+            assertThat(p.attemptCount(id)).isPositive();
             for (int attempt = 0; attempt < 4; attempt++) {
-                p.end(id, AttemptOutcome.CONNECT_FAILED, 10 * MS);
+                p.endAttempt(id, AttemptOutcome.CONNECT_FAILED, 10 * MILLIS);
             }
-            p.now += 10 * MS;
+            p.nowUs += 10 * MILLIS;
         }
     }
 
     @Test
     void aBackendThatErrsAtTimesIsTriedOn() {
         var p = new LoadBalancerDriver();
-        p.list(backend("a"), backend("b"), backend("c"), backend("errs"));
+        p.snapshot(endpoint("a"), endpoint("b"), endpoint("c"), endpoint("errs"));
         int toErring = 0;
         for (int i = 0; i < 4000; i++) {
-            String id = p.arrive(READ);
-            p.now += 10 * MS;
-            if (p.lastSend(id).endpointId().equals("errs") && toErring++ % 4 == 0) {
-                p.end(id, AttemptOutcome.ERROR, 10 * MS);
+            String id = p.submit(READ);
+            p.nowUs += 10 * MILLIS;
+            if (p.lastAttempt(id).endpointId().equals("errs") && toErring++ % 4 == 0) {
+                p.endAttempt(id, AttemptOutcome.ERROR, 10 * MILLIS);
             }
-            p.end(id, AttemptOutcome.SUCCESS, 10 * MS);
+            p.endAttempt(id, AttemptOutcome.SUCCESS, 10 * MILLIS);
         }
         // Put off for the longest time after every error, it would get 17; all the others take 980 or more.
         assertThat(toErring).isBetween(30, 400);
--- a/src/test/java/gaugegw/balancer/SafetyInvariantsTest.java
+++ b/src/test/java/gaugegw/balancer/SafetyInvariantsTest.java
@@ -1,15 +1,23 @@
 package gaugegw.balancer;
 
-import static gaugegw.balancer.LoadBalancerDriver.BOOK;
-import static gaugegw.balancer.LoadBalancerDriver.LIMITS;
-import static gaugegw.balancer.LoadBalancerDriver.MS;
-import static gaugegw.balancer.LoadBalancerDriver.NOTE;
-import static gaugegw.balancer.LoadBalancerDriver.PAY;
-import static gaugegw.balancer.LoadBalancerDriver.READ;
-import static gaugegw.balancer.LoadBalancerDriver.RULES;
-import static gaugegw.balancer.LoadBalancerDriver.S;
-import static gaugegw.balancer.LoadBalancerDriver.VOTE;
-import static gaugegw.balancer.LoadBalancerDriver.backend;
+import static gaugegw.balancer.testing.TestEndpoints.endpoint;
+import static gaugegw.balancer.testing.TestEndpoints.endpointIn;
+import static gaugegw.balancer.testing.TestEndpoints.endpointInState;
+import static gaugegw.balancer.testing.TestEndpoints.endpointStartedAt;
+import static gaugegw.balancer.testing.TestSettings.BOOK;
+import static gaugegw.balancer.testing.TestSettings.LIMITS;
+import static gaugegw.balancer.testing.TestSettings.MILLIS;
+import static gaugegw.balancer.testing.TestSettings.NOTE;
+import static gaugegw.balancer.testing.TestSettings.PAY;
+import static gaugegw.balancer.testing.TestSettings.READ;
+import static gaugegw.balancer.testing.TestSettings.SAFETY_LIMITS;
+import static gaugegw.balancer.testing.TestSettings.SECONDS;
+import static gaugegw.balancer.testing.TestSettings.VOTE;
+import static gaugegw.balancer.testing.TestSettings.limits;
+import static gaugegw.balancer.testing.TestSettings.readOnlySettings;
+import static gaugegw.balancer.testing.TestSettings.requestClass;
+import static gaugegw.balancer.testing.TestSettings.safetyLimits;
+import static gaugegw.balancer.testing.TestSettings.settings;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gaugegw.balancer.api.Action;
@@ -21,7 +29,6 @@
 import gaugegw.balancer.api.Action.StartAttempt;
 import gaugegw.balancer.api.Action.WatchEndpoints;
 import gaugegw.balancer.api.AttemptOutcome;
-import gaugegw.balancer.api.BalancerSettings;
 import gaugegw.balancer.api.DeduplicationScope;
 import gaugegw.balancer.api.Endpoint;
 import gaugegw.balancer.api.EndpointState;
@@ -29,10 +36,6 @@
 import gaugegw.balancer.api.Event.ClientDisconnected;
 import gaugegw.balancer.api.Event.EndpointUpdate;
 import gaugegw.balancer.api.Event.StreamStarted;
-import gaugegw.balancer.api.Idempotency;
-import gaugegw.balancer.api.Limits;
-import gaugegw.balancer.api.RequestClass;
-import gaugegw.balancer.api.SafetyLimits;
 import gaugegw.balancer.api.UpdateKind;
 import java.util.ArrayList;
 import java.util.List;
@@ -49,74 +52,75 @@
     class NoRequestIsLost {
         @Test
         void whatIsHeldHasATimerAheadOfItsDeadlineAndIsRefusedThen() {
-            proxy.list(backend("a"));
-            String held = proxy.arrive(READ);
-            while (proxy.sends(held) > 0) {
-                held = proxy.arrive(READ);
+            proxy.snapshot(endpoint("a"));
+            String held = proxy.submit(READ);
+            while (proxy.attemptCount(held) > 0) {
+                held = proxy.submit(READ);
             }
             SetTimer timer = (SetTimer) proxy.actions.get(proxy.actions.size() - 1);
-            assertThat(timer.atUs()).isBetween(proxy.now + 1, proxy.now + READ.deadlineUs() - 1);
-            proxy.run(READ.latencyObjectiveUs());
+            assertThat(timer.atUs()).isBetween(proxy.nowUs + 1, proxy.nowUs + READ.deadlineUs() - 1);
+            proxy.advance(READ.latencyObjectiveUs());
             assertThat(proxy.actions).containsOnlyOnce(new Reject(held, 0));
         }
 
         @Test
         void withNoBackendAtAllTheAnswerComesAtOnce() {
-            proxy.list();
-            String id = proxy.arrive(READ);
-            assertThat(proxy.has(new Reject(id, 0))).isTrue();
+            proxy.snapshot();
+            String id = proxy.submit(READ);
+            assertThat(proxy.hasEmitted(new Reject(id, 0))).isTrue();
         }
 
         @Test
         void aTimeoutAtTheDeadlineIsAnsweredAtOnceAndOnce() {
-            proxy.list(backend("a"));
-            String id = proxy.arrive(READ);
-            proxy.now += READ.deadlineUs();
-            assertThat(proxy.end(id, AttemptOutcome.TIMEOUT, READ.deadlineUs())).containsExactly(new Reject(id, 0));
-            assertThat(proxy.feed(new ClientDisconnected(id))).isEmpty();
+            proxy.snapshot(endpoint("a"));
+            String id = proxy.submit(READ);
+            proxy.nowUs += READ.deadlineUs();
+            assertThat(proxy.endAttempt(id, AttemptOutcome.TIMEOUT, READ.deadlineUs()))
+                    .containsExactly(new Reject(id, 0));
+            assertThat(proxy.handle(new ClientDisconnected(id))).isEmpty();
         }
 
         @Test
         void anAttemptNeverOutlivesTheClient() {
-            proxy.list(backend("a"));
-            String id = proxy.arrive(VOTE);
-            assertThat(proxy.lastSend(id).timeoutUs()).isBetween(1L, VOTE.deadlineUs());
+            proxy.snapshot(endpoint("a"));
+            String id = proxy.submit(VOTE);
+            assertThat(proxy.lastAttempt(id).timeoutUs()).isBetween(1L, VOTE.deadlineUs());
         }
 
         @Test
         void nothingIsSentForARequestThatIsOver() {
-            proxy.list(backend("a"), backend("b"));
-            String id = proxy.arrive(READ);
-            assertThat(proxy.feed(new ClientDisconnected(id))).containsExactly(new CancelAttempt(id, 0));
-            assertThat(proxy.end(id, AttemptOutcome.CANCELLED, MS)).isEmpty();
+            proxy.snapshot(endpoint("a"), endpoint("b"));
+            String id = proxy.submit(READ);
+            assertThat(proxy.handle(new ClientDisconnected(id))).containsExactly(new CancelAttempt(id, 0));
+            assertThat(proxy.endAttempt(id, AttemptOutcome.CANCELLED, MILLIS)).isEmpty();
         }
 
         @Test
         void withoutLeaveToCancelNothingIsCancelled() {
             var p = new LoadBalancerDriver(
-                    LoadBalancerDriver.settings(new Limits(false, false, false, false, 4, 0, 0), RULES));
-            p.list(backend("a"));
-            String id = p.arrive(READ);
-            assertThat(p.feed(new ClientDisconnected(id))).isEmpty();
+                    settings().limits(limits().cancellation(false).build()).build());
+            p.snapshot(endpoint("a"));
+            String id = p.submit(READ);
+            assertThat(p.handle(new ClientDisconnected(id))).isEmpty();
         }
 
         @Test
         void eventsForWhatIsNotHeldArePassedOver() {
-            proxy.list(backend("a"));
-            assertThat(proxy.feed(new ClientDisconnected("nobody"))).isEmpty();
-            assertThat(proxy.feed(new Event.AttemptEnded("nobody", 0, "a", AttemptOutcome.SUCCESS, MS, true)))
+            proxy.snapshot(endpoint("a"));
+            assertThat(proxy.handle(new ClientDisconnected("nobody"))).isEmpty();
+            assertThat(proxy.handle(new Event.AttemptEnded("nobody", 0, "a", AttemptOutcome.SUCCESS, MILLIS, true)))
                     .isEmpty();
-            assertThat(proxy.feed(new StreamStarted("nobody", 0))).isEmpty();
-            assertThat(proxy.feed(new Event.HealthCheckEnded("gone", AttemptOutcome.SUCCESS, MS)))
+            assertThat(proxy.handle(new StreamStarted("nobody", 0))).isEmpty();
+            assertThat(proxy.handle(new Event.HealthCheckEnded("gone", AttemptOutcome.SUCCESS, MILLIS)))
                     .isEmpty();
         }
 
         @Test
         void aStreamThatBreaksIsOverWithoutAnAnswerOfOurs() {
-            proxy.list(backend("a"), backend("b"));
-            String id = proxy.arrive(READ);
-            proxy.feed(new StreamStarted(id, 0));
-            assertThat(proxy.feed(new Event.AttemptEnded(id, 0, "a", AttemptOutcome.RESET, 3 * S, true)))
+            proxy.snapshot(endpoint("a"), endpoint("b"));
+            String id = proxy.submit(READ);
+            proxy.handle(new StreamStarted(id, 0));
+            assertThat(proxy.handle(new Event.AttemptEnded(id, 0, "a", AttemptOutcome.RESET, 3 * SECONDS, true)))
                     .isEmpty();
         }
     }
@@ -125,164 +129,163 @@
     class NoEffectHappensTwice {
         @Test
         void anUnsafeRequestThatMayHaveRunFails() {
-            proxy.list(backend("a"), backend("b"));
-            String id = proxy.arrive(VOTE);
-            assertThat(proxy.end(id, AttemptOutcome.RESET, MS)).containsExactly(new Fail(id));
+            proxy.snapshot(endpoint("a"), endpoint("b"));
+            String id = proxy.submit(VOTE);
+            assertThat(proxy.endAttempt(id, AttemptOutcome.RESET, MILLIS)).containsExactly(new Fail(id));
         }
 
         @Test
         void anUnsafeRequestThatNeverRanIsSentAgain() {
-            proxy.list(backend("a"), backend("b"));
-            String id = proxy.arrive(VOTE);
-            String first = proxy.lastSend(id).endpointId();
-            proxy.end(id, AttemptOutcome.CONNECT_FAILED, MS);
-            assertThat(proxy.sends(id)).isEqualTo(2);
-            assertThat(proxy.lastSend(id).endpointId()).isNotEqualTo(first);
+            proxy.snapshot(endpoint("a"), endpoint("b"));
+            String id = proxy.submit(VOTE);
+            String first = proxy.lastAttempt(id).endpointId();
+            proxy.endAttempt(id, AttemptOutcome.CONNECT_FAILED, MILLIS);
+            assertThat(proxy.attemptCount(id)).isEqualTo(2);
+            assertThat(proxy.lastAttempt(id).endpointId()).isNotEqualTo(first);
         }
 
         @Test
         void anUnsafeRequestThatNeverRanMayBeRefused() {
-            proxy.list(backend("a"));
-            String id = proxy.arrive(VOTE);
-            proxy.now += 700 * MS;
-            assertThat(proxy.end(id, AttemptOutcome.REJECTED, MS)).containsExactly(new Reject(id, 0));
+            proxy.snapshot(endpoint("a"));
+            String id = proxy.submit(VOTE);
+            proxy.nowUs += 700 * MILLIS;
+            assertThat(proxy.endAttempt(id, AttemptOutcome.REJECTED, MILLIS)).containsExactly(new Reject(id, 0));
         }
 
         @Test
         void aKeyedRequestThatMayHaveRunStaysInItsZone() {
-            proxy.list(
-                    backend("a1", "std", "a", 1),
-                    backend("b1", "std", "b", 2),
-                    backend("b2", "std", "b", 3),
-                    backend("a2", "std", "a", 4));
+            proxy.snapshot(
+                    endpointIn("a1", "a", 1),
+                    endpointIn("b1", "b", 2),
+                    endpointIn("b2", "b", 3),
+                    endpointIn("a2", "a", 4));
             for (int i = 0; i < 8; i++) {
-                String id = proxy.arrive(PAY);
-                String first = proxy.lastSend(id).endpointId();
-                proxy.end(id, AttemptOutcome.RESET, MS);
-                assertThat(proxy.sends(id)).isEqualTo(2);
-                assertThat(proxy.lastSend(id).endpointId().charAt(0)).isEqualTo(first.charAt(0));
-                proxy.end(id, AttemptOutcome.SUCCESS, MS);
+                String id = proxy.submit(PAY);
+                String first = proxy.lastAttempt(id).endpointId();
+                proxy.endAttempt(id, AttemptOutcome.RESET, MILLIS);
+                assertThat(proxy.attemptCount(id)).isEqualTo(2);
+                assertThat(proxy.lastAttempt(id).endpointId().charAt(0)).isEqualTo(first.charAt(0));
+                proxy.endAttempt(id, AttemptOutcome.SUCCESS, MILLIS);
             }
         }
 
         @Test
         void aKeyedRequestThatMayHaveRunStaysInItsCell() {
-            proxy.list(backend("a", "std", "a", 1), backend("b", "std", "a", 2));
-            String id = proxy.arrive(BOOK);
-            String first = proxy.lastSend(id).endpointId();
-            proxy.end(id, AttemptOutcome.RESET, MS);
-            if (proxy.sends(id) > 1) {
-                assertThat(proxy.lastSend(id).endpointId()).isEqualTo(first);
+            proxy.snapshot(endpointIn("a", "a", 1), endpointIn("b", "a", 2));
+            String id = proxy.submit(BOOK);
+            String first = proxy.lastAttempt(id).endpointId();
+            proxy.endAttempt(id, AttemptOutcome.RESET, MILLIS);
+            if (proxy.attemptCount(id) > 1) {
+                assertThat(proxy.lastAttempt(id).endpointId()).isEqualTo(first);
             } else {
-                assertThat(proxy.has(new Fail(id))).isTrue();
+                assertThat(proxy.hasEmitted(new Fail(id))).isTrue();
             }
         }
 
         @Test
         void aKeyedRequestIsNotSentAgainPastItsWindow() {
-            var shortWindow = new RequestClass(
-                    "pay", 600 * MS, 2 * S, 10, 0, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE, 100 * MS);
+            var shortWindow = requestClass("pay")
+                    .priorityWeight(10)
+                    .deduplicated(DeduplicationScope.ZONE, 100 * MILLIS)
+                    .build();
             var p = new LoadBalancerDriver(
-                    new BalancerSettings(1, 0, "a", MS, List.of(shortWindow), List.of(), 1, false, LIMITS, RULES, 1));
-            p.list(backend("a"), backend("b"));
-            String id = p.arrive(shortWindow);
-            p.now += 100 * MS;
-            assertThat(p.end(id, AttemptOutcome.RESET, 100 * MS)).contains(new Fail(id));
-            assertThat(p.sends(id)).isEqualTo(1);
+                    readOnlySettings().requestClasses(shortWindow).build());
+            p.snapshot(endpoint("a"), endpoint("b"));
+            String id = p.submit(shortWindow);
+            p.nowUs += 100 * MILLIS;
+            assertThat(p.endAttempt(id, AttemptOutcome.RESET, 100 * MILLIS)).contains(new Fail(id));
+            assertThat(p.attemptCount(id)).isEqualTo(1);
         }
 
         /** A send counts from its first byte, and a new connection may take up to the connect time-out to come up. */
         @Test
         void aKeyedRequestIsNotSentAgainWhereItMayBeginPastItsWindow() {
-            long connectUs = 200 * MS;
-            var shortWindow = new RequestClass(
-                    "pay", 600 * MS, 2 * S, 10, 0, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE, 400 * MS);
-            var p = new LoadBalancerDriver(new BalancerSettings(
-                    1,
-                    0,
-                    "a",
-                    MS,
-                    List.of(shortWindow),
-                    List.of(),
-                    1,
-                    false,
-                    new Limits(true, false, false, false, 4, 0, connectUs),
-                    RULES,
-                    1));
-            p.list(backend("a"), backend("b"), backend("c"));
-            String late = p.arrive(shortWindow);
-            String soon = p.arrive(shortWindow);
-            p.now += shortWindow.deduplicationWindowUs() - connectUs - 1;
-            p.end(soon, AttemptOutcome.RESET, 0);
-            assertThat(p.sends(soon)).isEqualTo(2);
-            p.now += 1;
-            assertThat(p.end(late, AttemptOutcome.RESET, 0)).contains(new Fail(late));
-            assertThat(p.sends(late)).isEqualTo(1);
+            long connectUs = 200 * MILLIS;
+            var shortWindow = requestClass("pay")
+                    .priorityWeight(10)
+                    .deduplicated(DeduplicationScope.ZONE, 400 * MILLIS)
+                    .build();
+            var p = new LoadBalancerDriver(readOnlySettings()
+                    .requestClasses(shortWindow)
+                    .limits(limits().connectTimeoutUs(connectUs).build())
+                    .build());
+            p.snapshot(endpoint("a"), endpoint("b"), endpoint("c"));
+            String late = p.submit(shortWindow);
+            String soon = p.submit(shortWindow);
+            p.nowUs += shortWindow.deduplicationWindowUs() - connectUs - 1;
+            p.endAttempt(soon, AttemptOutcome.RESET, 0);
+            assertThat(p.attemptCount(soon)).isEqualTo(2);
+            p.nowUs += 1;
+            assertThat(p.endAttempt(late, AttemptOutcome.RESET, 0)).contains(new Fail(late));
+            assertThat(p.attemptCount(late)).isEqualTo(1);
         }
 
         @Test
         void aKeyedRequestOfAZoneThatMayHaveRunIsFailedNotRefused() {
-            proxy.list(backend("a"));
-            String id = proxy.arrive(PAY);
-            proxy.now += PAY.deadlineUs();
-            assertThat(proxy.end(id, AttemptOutcome.TIMEOUT, PAY.deadlineUs())).containsExactly(new Fail(id));
+            proxy.snapshot(endpoint("a"));
+            String id = proxy.submit(PAY);
+            proxy.nowUs += PAY.deadlineUs();
+            assertThat(proxy.endAttempt(id, AttemptOutcome.TIMEOUT, PAY.deadlineUs()))
+                    .containsExactly(new Fail(id));
         }
 
         @Test
         void aKeyedRequestOfAllBackendsMayBeRefused() {
-            proxy.list(backend("a"));
-            String id = proxy.arrive(NOTE);
-            proxy.now += NOTE.deadlineUs();
-            assertThat(proxy.end(id, AttemptOutcome.TIMEOUT, NOTE.deadlineUs())).containsExactly(new Reject(id, 0));
+            proxy.snapshot(endpoint("a"));
+            String id = proxy.submit(NOTE);
+            proxy.nowUs += NOTE.deadlineUs();
+            assertThat(proxy.endAttempt(id, AttemptOutcome.TIMEOUT, NOTE.deadlineUs()))
+                    .containsExactly(new Reject(id, 0));
         }
 
         @Test
         void attemptsStayWithinTheirNumber() {
-            proxy.list(backend("a"), backend("b"), backend("c"), backend("d"), backend("e"), backend("f"));
-            String id = proxy.arrive(READ);
+            proxy.snapshot(endpoint("a"), endpoint("b"), endpoint("c"), endpoint("d"), endpoint("e"), endpoint("f"));
+            String id = proxy.submit(READ);
             for (int i = 1; i < LIMITS.maxAttempts(); i++) {
-                proxy.end(id, AttemptOutcome.REJECTED, MS);
-                assertThat(proxy.sends(id)).isEqualTo(i + 1);
+                proxy.endAttempt(id, AttemptOutcome.REJECTED, MILLIS);
+                assertThat(proxy.attemptCount(id)).isEqualTo(i + 1);
             }
-            assertThat(proxy.end(id, AttemptOutcome.REJECTED, MS)).containsExactly(new Reject(id, 0));
+            assertThat(proxy.endAttempt(id, AttemptOutcome.REJECTED, MILLIS)).containsExactly(new Reject(id, 0));
         }
     }
 
     @Nested
     class FullIsNoProofWhereTheRulesSaySo {
-        private final LoadBalancerDriver doubting = new LoadBalancerDriver(
-                LoadBalancerDriver.settings(LIMITS, new SafetyLimits(0.4, 8 * S, 4, S, 10 * S, true)));
+        private final LoadBalancerDriver doubting = new LoadBalancerDriver(settings()
+                .safetyLimits(safetyLimits().rejectedMayHaveExecuted(true).build())
+                .build());
 
         @Test
         void anUnsafeRequestIsNeitherSentAgainNorRefused() {
-            doubting.list(backend("a"), backend("b"));
-            String id = doubting.arrive(VOTE);
-            assertThat(doubting.end(id, AttemptOutcome.REJECTED, MS)).containsExactly(new Fail(id));
+            doubting.snapshot(endpoint("a"), endpoint("b"));
+            String id = doubting.submit(VOTE);
+            assertThat(doubting.endAttempt(id, AttemptOutcome.REJECTED, MILLIS)).containsExactly(new Fail(id));
         }
 
         @Test
         void aKeyedRequestIsSentAgainWithinItsGroup() {
-            doubting.list(backend("a", "std", "a", 1), backend("b", "std", "b", 2), backend("c", "std", "a", 3));
-            String id = doubting.arrive(PAY);
-            doubting.end(id, AttemptOutcome.REJECTED, MS);
-            assertThat(doubting.sends(id)).isEqualTo(2);
-            assertThat(doubting.lastSend(id).endpointId()).isIn("a", "c");
+            doubting.snapshot(endpointIn("a", "a", 1), endpointIn("b", "b", 2), endpointIn("c", "a", 3));
+            String id = doubting.submit(PAY);
+            doubting.endAttempt(id, AttemptOutcome.REJECTED, MILLIS);
+            assertThat(doubting.attemptCount(id)).isEqualTo(2);
+            assertThat(doubting.lastAttempt(id).endpointId()).isIn("a", "c");
         }
 
         @Test
         void aKeyedRequestIsFailedWhenItsGroupCannotTakeIt() {
-            doubting.list(backend("a"));
-            String id = doubting.arrive(PAY);
-            doubting.now += PAY.deduplicationWindowUs();
-            assertThat(doubting.end(id, AttemptOutcome.REJECTED, MS)).containsExactly(new Fail(id));
+            doubting.snapshot(endpoint("a"));
+            String id = doubting.submit(PAY);
+            doubting.nowUs += PAY.deduplicationWindowUs();
+            assertThat(doubting.endAttempt(id, AttemptOutcome.REJECTED, MILLIS)).containsExactly(new Fail(id));
         }
 
         @Test
         void aKeyedRequestOfAllBackendsIsRefusedAllTheSame() {
-            doubting.list(backend("a"));
-            String id = doubting.arrive(NOTE);
-            doubting.now += NOTE.latencyObjectiveUs();
-            assertThat(doubting.end(id, AttemptOutcome.REJECTED, MS)).containsExactly(new Reject(id, 0));
+            doubting.snapshot(endpoint("a"));
+            String id = doubting.submit(NOTE);
+            doubting.nowUs += NOTE.latencyObjectiveUs();
+            assertThat(doubting.endAttempt(id, AttemptOutcome.REJECTED, MILLIS)).containsExactly(new Reject(id, 0));
         }
     }
 
@@ -290,30 +293,31 @@
     class ConnectionsAreClosedOnDrains {
         @Test
         void idleOnesAtTheNoticeAndTheLastOnceItsAttemptHasEnded() {
-            proxy.list(backend("a"));
-            String id = proxy.arrive(VOTE);
-            assertThat(proxy.feed(new EndpointUpdate(
-                            UpdateKind.DELTA, List.of(LoadBalancerDriver.in(EndpointState.DRAINING, "a")))))
+            proxy.snapshot(endpoint("a"));
+            String id = proxy.submit(VOTE);
+            assertThat(proxy.handle(new EndpointUpdate(
+                            UpdateKind.DELTA, List.of(endpointInState("a", EndpointState.DRAINING)))))
+                    .containsExactly(new CloseIdleConnections("a"));
+            assertThat(proxy.endAttempt(id, AttemptOutcome.SUCCESS, MILLIS))
                     .containsExactly(new CloseIdleConnections("a"));
-            assertThat(proxy.end(id, AttemptOutcome.SUCCESS, MS)).containsExactly(new CloseIdleConnections("a"));
         }
 
         @Test
         void alsoForAnAttemptThatWasCalledOff() {
-            proxy.list(backend("a"), backend("b"));
-            String id = proxy.arrive(READ);
-            String to = proxy.lastSend(id).endpointId();
-            proxy.feed(new ClientDisconnected(id));
-            proxy.feed(
-                    new EndpointUpdate(UpdateKind.DELTA, List.of(LoadBalancerDriver.in(EndpointState.DRAINING, to))));
-            assertThat(proxy.end(id, AttemptOutcome.CANCELLED, MS)).containsExactly(new CloseIdleConnections(to));
+            proxy.snapshot(endpoint("a"), endpoint("b"));
+            String id = proxy.submit(READ);
+            String to = proxy.lastAttempt(id).endpointId();
+            proxy.handle(new ClientDisconnected(id));
+            proxy.handle(new EndpointUpdate(UpdateKind.DELTA, List.of(endpointInState(to, EndpointState.DRAINING))));
+            assertThat(proxy.endAttempt(id, AttemptOutcome.CANCELLED, MILLIS))
+                    .containsExactly(new CloseIdleConnections(to));
         }
 
         @Test
         void ofBackendsMissingFromAFullListToo() {
-            proxy.list(backend("a"), backend("b"));
+            proxy.snapshot(endpoint("a"), endpoint("b"));
             proxy.actions.clear();
-            proxy.list(backend("b"));
+            proxy.snapshot(endpoint("b"));
             assertThat(proxy.actions).containsExactly(new CloseIdleConnections("a"));
         }
     }
@@ -322,49 +326,47 @@
     class DrainsAreKept {
         @Test
         void aDrainingOrLostBackendGetsNothingNew() {
-            proxy.list(backend("a"), backend("b"), backend("c"));
-            proxy.feed(new EndpointUpdate(
+            proxy.snapshot(endpoint("a"), endpoint("b"), endpoint("c"));
+            proxy.handle(new EndpointUpdate(
                     UpdateKind.DELTA,
-                    List.of(
-                            LoadBalancerDriver.in(EndpointState.DRAINING, "a"),
-                            LoadBalancerDriver.in(EndpointState.GONE, "b"))));
+                    List.of(endpointInState("a", EndpointState.DRAINING), endpointInState("b", EndpointState.GONE))));
             for (int i = 0; i < 10; i++) {
-                assertThat(proxy.serve(READ, MS)).isEqualTo("c");
+                assertThat(proxy.serve(READ, MILLIS)).isEqualTo("c");
             }
         }
 
         @Test
         void aBackendMissingFromAFullListGetsNothingNew() {
-            proxy.list(backend("a"), backend("b"));
-            proxy.list(backend("b"));
+            proxy.snapshot(endpoint("a"), endpoint("b"));
+            proxy.snapshot(endpoint("b"));
             for (int i = 0; i < 5; i++) {
-                assertThat(proxy.serve(READ, MS)).isEqualTo("b");
+                assertThat(proxy.serve(READ, MILLIS)).isEqualTo("b");
             }
         }
 
         @Test
         void aListWhereAllDrainLeavesNothingToSendTo() {
-            proxy.list(backend("a"));
-            proxy.list(LoadBalancerDriver.in(EndpointState.DRAINING, "a"));
-            String id = proxy.arrive(READ);
-            assertThat(proxy.sends(id)).isZero();
+            proxy.snapshot(endpoint("a"));
+            proxy.snapshot(endpointInState("a", EndpointState.DRAINING));
+            String id = proxy.submit(READ);
+            assertThat(proxy.attemptCount(id)).isZero();
         }
 
         @Test
         void aDrainedBackendMayComeBack() {
-            proxy.list(LoadBalancerDriver.in(EndpointState.DRAINING, "a"));
-            proxy.feed(new EndpointUpdate(UpdateKind.DELTA, List.of(backend("a"))));
-            assertThat(proxy.serve(READ, MS)).isEqualTo("a");
+            proxy.snapshot(endpointInState("a", EndpointState.DRAINING));
+            proxy.handle(new EndpointUpdate(UpdateKind.DELTA, List.of(endpoint("a"))));
+            assertThat(proxy.serve(READ, MILLIS)).isEqualTo("a");
         }
 
         @Test
         void aBackendThatDrainsAndComesBackInOneUpdateIsListedOnce() {
-            proxy.list(backend("a"), backend("b"));
-            proxy.feed(new EndpointUpdate(
-                    UpdateKind.DELTA, List.of(LoadBalancerDriver.in(EndpointState.DRAINING, "a"), backend("a"))));
+            proxy.snapshot(endpoint("a"), endpoint("b"));
+            proxy.handle(new EndpointUpdate(
+                    UpdateKind.DELTA, List.of(endpointInState("a", EndpointState.DRAINING), endpoint("a"))));
             int toA = 0;
             for (int i = 0; i < 12; i++) {
-                toA += proxy.serve(READ, MS).equals("a") ? 1 : 0;
+                toA += proxy.serve(READ, MILLIS).equals("a") ? 1 : 0;
             }
             assertThat(toA).isEqualTo(6);
         }
@@ -372,35 +374,37 @@
         @Test
         void aListThatMustBeAskedForIsAskedForAtOnceAndAgainAfterAFailure() {
             var p = new LoadBalancerDriver(
-                    LoadBalancerDriver.settings(new Limits(true, false, false, true, 4, 0, 0), RULES));
-            assertThat(p.feed(new EndpointUpdate(UpdateKind.CACHED, List.of(backend("a")))))
+                    settings().limits(limits().endpointsArePolled(true).build()).build());
+            assertThat(p.handle(new EndpointUpdate(UpdateKind.CACHED, List.of(endpoint("a")))))
                     .contains(new WatchEndpoints(true));
-            List<Action> after = p.feed(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
+            List<Action> after = p.handle(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
             SetTimer timer = (SetTimer) after.get(0);
-            assertThat(timer.atUs()).isBetween(p.now + 1, p.now + RULES.pollIntervalUs());
-            assertThat(p.serve(READ, MS)).as("the old list stays").isEqualTo("a");
-            p.now = timer.atUs();
-            assertThat(p.timer(timer.token())).contains(new WatchEndpoints(true));
+            assertThat(timer.atUs()).isBetween(p.nowUs + 1, p.nowUs + SAFETY_LIMITS.pollIntervalUs());
+            assertThat(p.serve(READ, MILLIS)).as("the old list stays").isEqualTo("a");
+            p.nowUs = timer.atUs();
+            assertThat(p.fireTimer(timer.token())).contains(new WatchEndpoints(true));
         }
 
         /** However many calls fail, and whether or not two of them overlap, the next is made within the bound. */
         @ParameterizedTest
-        @ValueSource(longs = {50 * MS, 500 * MS, 10 * S, 60 * S, 3_600 * S})
+        @ValueSource(longs = {50 * MILLIS, 500 * MILLIS, 10 * SECONDS, 60 * SECONDS, 3_600 * SECONDS})
         void theNextCallIsMadeWithinTheBoundAfterAnyRowOfFailures(long askWithinUs) {
-            var rules = new SafetyLimits(0.4, 8 * S, 4, S, askWithinUs, false);
-            var p = new LoadBalancerDriver(
-                    LoadBalancerDriver.settings(new Limits(true, false, false, true, 4, 0, 0), rules));
+            var rules = safetyLimits().pollIntervalUs(askWithinUs).build();
+            var p = new LoadBalancerDriver(settings()
+                    .limits(limits().endpointsArePolled(true).build())
+                    .safetyLimits(rules)
+                    .build());
             long boundUs = Math.min(DiscoveryBackoff.MAX_DELAY_US, askWithinUs);
-            p.feed(new EndpointUpdate(UpdateKind.CACHED, List.of(backend("a"))));
+            p.handle(new EndpointUpdate(UpdateKind.CACHED, List.of(endpoint("a"))));
             for (int i = 0; i < 40; i++) {
                 long calls = watches(p);
-                p.feed(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
+                p.handle(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
                 if (i % 2 == 1) {
-                    p.run(boundUs / 4);
-                    p.feed(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
-                    p.run(boundUs - boundUs / 4);
+                    p.advance(boundUs / 4);
+                    p.handle(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
+                    p.advance(boundUs - boundUs / 4);
                 } else {
-                    p.run(boundUs);
+                    p.advance(boundUs);
                 }
                 assertThat(watches(p)).as("failure %d", i).isGreaterThan(calls);
             }
@@ -414,25 +418,25 @@
         @Test
         void aChangeIsInForceInTimeThoughTwoCallsFail() {
             long longestUs = 3 * DiscoveryBackoff.CALL_TIMEOUT_US + 2 * DiscoveryBackoff.MAX_DELAY_US;
-            assertThat(longestUs).isEqualTo(6 * S);
+            assertThat(longestUs).isEqualTo(6 * SECONDS);
         }
 
         /** Each call is priced over the whole fleet: in an outage they grow rare, up to the bound. */
         @Test
         void callsThatFailGrowRare() {
             var p = new LoadBalancerDriver(
-                    LoadBalancerDriver.settings(new Limits(true, false, false, true, 4, 0, 0), RULES));
-            p.feed(new EndpointUpdate(UpdateKind.CACHED, List.of(backend("a"))));
+                    settings().limits(limits().endpointsArePolled(true).build()).build());
+            p.handle(new EndpointUpdate(UpdateKind.CACHED, List.of(endpoint("a"))));
             var delays = new ArrayList<Long>();
             for (int i = 0; i < 6; i++) {
-                SetTimer timer = (SetTimer) p.feed(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()))
+                SetTimer timer = (SetTimer) p.handle(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()))
                         .get(0);
-                delays.add(timer.atUs() - p.now);
-                p.now = timer.atUs();
-                p.timer(timer.token());
+                delays.add(timer.atUs() - p.nowUs);
+                p.nowUs = timer.atUs();
+                p.fireTimer(timer.token());
             }
-            assertThat(delays.get(0)).isBetween(100 * MS, 200 * MS);
-            assertThat(delays.get(1)).isBetween(200 * MS, 400 * MS);
+            assertThat(delays.get(0)).isBetween(100 * MILLIS, 200 * MILLIS);
+            assertThat(delays.get(1)).isBetween(200 * MILLIS, 400 * MILLIS);
             assertThat(delays.subList(3, 6)).allMatch(d -> d >= DiscoveryBackoff.MAX_DELAY_US / 2);
         }
 
@@ -440,45 +444,39 @@
         @Test
         void aWatchThatEndsAgainAndAgainIsBegunAnewMoreAndMoreRarely() {
             var p = new LoadBalancerDriver(
-                    LoadBalancerDriver.settings(new Limits(true, false, false, true, 4, 0, 0), RULES));
-            p.feed(new EndpointUpdate(UpdateKind.CACHED, List.of(backend("a"))));
+                    settings().limits(limits().endpointsArePolled(true).build()).build());
+            p.handle(new EndpointUpdate(UpdateKind.CACHED, List.of(endpoint("a"))));
             for (int i = 0; i < 4; i++) {
-                p.feed(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
-                p.run(DiscoveryBackoff.MAX_DELAY_US);
-                p.feed(new EndpointUpdate(UpdateKind.DELTA, List.of()));
+                p.handle(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
+                p.advance(DiscoveryBackoff.MAX_DELAY_US);
+                p.handle(new EndpointUpdate(UpdateKind.DELTA, List.of()));
             }
             assertThat(delayAfterAFailure(p)).isGreaterThanOrEqualTo(DiscoveryBackoff.MAX_DELAY_US / 2);
-            p.feed(new EndpointUpdate(UpdateKind.DELTA, List.of()));
-            p.now += DiscoveryBackoff.MAX_PROPAGATION_DELAY_US + 1;
-            assertThat(delayAfterAFailure(p)).isLessThanOrEqualTo(200 * MS);
+            p.handle(new EndpointUpdate(UpdateKind.DELTA, List.of()));
+            p.nowUs += DiscoveryBackoff.MAX_PROPAGATION_DELAY_US + 1;
+            assertThat(delayAfterAFailure(p)).isLessThanOrEqualTo(200 * MILLIS);
         }
 
         private static long delayAfterAFailure(LoadBalancerDriver p) {
-            SetTimer timer = (SetTimer) p.feed(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()))
+            SetTimer timer = (SetTimer) p.handle(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()))
                     .get(0);
-            return timer.atUs() - p.now;
+            return timer.atUs() - p.nowUs;
         }
 
         @Test
         void proxiesDoNotAskAgainInStep() {
             var p = new LoadBalancerDriver(
-                    LoadBalancerDriver.settings(new Limits(true, false, false, true, 4, 0, 0), RULES));
-            var q = new LoadBalancerDriver(new BalancerSettings(
-                    1,
-                    0,
-                    "a",
-                    MS,
-                    List.of(READ),
-                    List.of(),
-                    1,
-                    false,
-                    new Limits(true, false, false, true, 4, 0, 0),
-                    RULES,
-                    8));
-            assertThat(p.feed(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of())))
-                    .doesNotContainAnyElementsOf(q.feed(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of())).stream()
-                            .filter(a -> a instanceof SetTimer t && t.atUs() != q.now + RULES.pollIntervalUs())
-                            .toList());
+                    settings().limits(limits().endpointsArePolled(true).build()).build());
+            var q = new LoadBalancerDriver(readOnlySettings()
+                    .limits(limits().endpointsArePolled(true).build())
+                    .seed(8)
+                    .build());
+            assertThat(p.handle(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of())))
+                    .doesNotContainAnyElementsOf(
+                            q.handle(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of())).stream()
+                                    .filter(a -> a instanceof SetTimer t
+                                            && t.atUs() != q.nowUs + SAFETY_LIMITS.pollIntervalUs())
+                                    .toList());
         }
     }
 
@@ -491,32 +489,32 @@
 
         @Test
         void itGetsNoMoreThanItsBudgetEvenWhenItIsAlone() {
-            proxy.list(backend("warm"));
+            proxy.snapshot(endpoint("warm"));
             for (int i = 0; i < 300; i++) {
-                proxy.serve(READ, 50 * MS);
+                proxy.serve(READ, 50 * MILLIS);
             }
             assertThat(sentInOneSecond(AttemptOutcome.SUCCESS)).isBetween(5, MOST);
         }
 
         @Test
         void retriesCount() {
-            proxy.list(backend("warm"));
+            proxy.snapshot(endpoint("warm"));
             for (int i = 0; i < 300; i++) {
-                proxy.serve(READ, 50 * MS);
+                proxy.serve(READ, 50 * MILLIS);
             }
             assertThat(sentInOneSecond(AttemptOutcome.REJECTED)).isBetween(5, MOST);
         }
 
         private int sentInOneSecond(AttemptOutcome outcome) {
-            proxy.list(LoadBalancerDriver.started("cold", proxy.now));
+            proxy.snapshot(endpointStartedAt("cold", proxy.nowUs));
             int before = proxy.actions.size();
             for (int i = 0; i < 1000; i++) {
-                proxy.now += MS;
-                proxy.arrive(READ);
+                proxy.nowUs += MILLIS;
+                proxy.submit(READ);
                 for (; before < proxy.actions.size(); before++) {
                     if (proxy.actions.get(before) instanceof StartAttempt s) {
                         sent++;
-                        proxy.end(s.requestId(), outcome, MS);
+                        proxy.endAttempt(s.requestId(), outcome, MILLIS);
                     }
                 }
             }
@@ -525,21 +523,20 @@
 
         @Test
         void oneOfManyProxiesMayStillSendItWhatItsLikeBear() {
-            var p = new LoadBalancerDriver(
-                    new BalancerSettings(9, 3, "a", MS, List.of(READ), List.of(), 1, false, LIMITS, RULES, 1));
+            var p = new LoadBalancerDriver(readOnlySettings().proxy(3, 9).build());
             var backends = new Endpoint[4];
             for (int i = 0; i < 4; i++) {
-                backends[i] = backend("s" + i);
+                backends[i] = endpoint("s" + i);
             }
-            p.list(backends);
+            p.snapshot(backends);
             for (int i = 0; i < 3000; i++) {
-                p.serve(READ, 10 * MS);
+                p.serve(READ, 10 * MILLIS);
             }
-            backends[3] = LoadBalancerDriver.started("s3", p.now);
-            p.list(backends);
+            backends[3] = endpointStartedAt("s3", p.nowUs);
+            p.snapshot(backends);
             int toCold = 0;
             for (int i = 0; i < 200; i++) {
-                toCold += p.serve(READ, 10 * MS).equals("s3") ? 1 : 0;
+                toCold += p.serve(READ, 10 * MILLIS).equals("s3") ? 1 : 0;
             }
             // Its like bear 25 a second for this proxy; in two seconds, at 40% to 55% warmth, 0.4 of 4 times that.
             assertThat(toCold).isBetween(15, 44);
@@ -547,17 +544,17 @@
 
         @Test
         void aRestartedBackendIsCold() {
-            proxy.list(backend("a"));
+            proxy.snapshot(endpoint("a"));
             for (int i = 0; i < 100; i++) {
-                proxy.serve(READ, 50 * MS);
+                proxy.serve(READ, 50 * MILLIS);
             }
-            proxy.list(LoadBalancerDriver.started("a", proxy.now));
+            proxy.snapshot(endpointStartedAt("a", proxy.nowUs));
             long sent = 0;
             for (int i = 0; i < 100; i++) {
-                String id = proxy.arrive(READ);
-                sent += proxy.sends(id);
-                if (proxy.sends(id) > 0) {
-                    proxy.end(id, AttemptOutcome.SUCCESS, MS);
+                String id = proxy.submit(READ);
+                sent += proxy.attemptCount(id);
+                if (proxy.attemptCount(id) > 0) {
+                    proxy.endAttempt(id, AttemptOutcome.SUCCESS, MILLIS);
                 }
             }
             assertThat(sent).isLessThan(20);
@@ -565,7 +562,7 @@
 
         @Test
         void itIsWarmInTheEnd() {
-            proxy.list(LoadBalancerDriver.started("a", proxy.now - RULES.slowStartUs()));
+            proxy.snapshot(endpointStartedAt("a", proxy.nowUs - SAFETY_LIMITS.slowStartUs()));
             for (int i = 0; i < 100; i++) {
                 assertThat(proxy.serve(READ, 0)).isEqualTo("a");
             }
--- a/src/test/java/gaugegw/balancer/SlowStartFleetTest.java
+++ b/src/test/java/gaugegw/balancer/SlowStartFleetTest.java
@@ -1,16 +1,19 @@
 package gaugegw.balancer;
 
-import static gaugegw.balancer.LoadBalancerDriver.LIMITS;
-import static gaugegw.balancer.LoadBalancerDriver.MS;
-import static gaugegw.balancer.LoadBalancerDriver.READ;
-import static gaugegw.balancer.LoadBalancerDriver.S;
+import static gaugegw.balancer.testing.TestEndpoints.endpoint;
+import static gaugegw.balancer.testing.TestEndpoints.endpointInState;
+import static gaugegw.balancer.testing.TestEndpoints.endpointStartedAt;
+import static gaugegw.balancer.testing.TestSettings.MILLIS;
+import static gaugegw.balancer.testing.TestSettings.READ;
+import static gaugegw.balancer.testing.TestSettings.SECONDS;
+import static gaugegw.balancer.testing.TestSettings.readOnlySettings;
+import static gaugegw.balancer.testing.TestSettings.safetyLimits;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gaugegw.balancer.api.Action;
 import gaugegw.balancer.api.Action.SetTimer;
 import gaugegw.balancer.api.Action.StartAttempt;
 import gaugegw.balancer.api.AttemptOutcome;
-import gaugegw.balancer.api.BalancerSettings;
 import gaugegw.balancer.api.Endpoint;
 import gaugegw.balancer.api.EndpointState;
 import gaugegw.balancer.api.Event;
@@ -36,16 +39,17 @@
  * eight times as much as each of the others. It is calm before the burst, so that unused budget could be saved up.
  */
 class SlowStartFleetTest {
-    private static final SafetyLimits RULES = new SafetyLimits(0.4, 20 * S, 1.5, S, 10 * S, false);
+    private static final SafetyLimits RULES =
+            safetyLimits().slowStartUs(20 * SECONDS).overloadMultiple(1.5).build();
     /** A backend serves one request at a time. */
-    private static final long SERVICE_US = 100 * MS;
+    private static final long SERVICE_US = 100 * MILLIS;
 
     private static final int LEAST_BACKENDS = 40;
     /** One in so many backends is restarted under its old id, and as many join. */
     private static final int RESTARTED = 8;
 
-    private static final long STARTED_AT = 30 * S;
-    private static final long BURST_AT = 44 * S;
+    private static final long STARTED_AT = 30 * SECONDS;
+    private static final long BURST_AT = 44 * SECONDS;
     private static final long END = STARTED_AT + RULES.slowStartUs();
 
     @ParameterizedTest
@@ -98,8 +102,11 @@
             cumulativeTraffic = new double[count];
             double sum = 0;
             for (int rank = 0; rank < count; rank++) {
-                proxies.add(new EarliestDeadlineLoadBalancer(new BalancerSettings(
-                        count, rank, "a", MS, List.of(READ), List.of(), 1, false, LIMITS, RULES, random.nextLong())));
+                proxies.add(new EarliestDeadlineLoadBalancer(readOnlySettings()
+                        .proxy(rank, count)
+                        .safetyLimits(RULES)
+                        .seed(random.nextLong())
+                        .build()));
                 sum += rank % 5 == 0 ? 4 : 0.5;
                 cumulativeTraffic[rank] = sum;
             }
@@ -107,13 +114,13 @@
 
         void run() {
             for (int i = 0; i < size; i++) {
-                backends.put("s" + i, LoadBalancerDriver.backend("s" + i));
+                backends.put("s" + i, endpoint("s" + i));
             }
             at(0, () -> tell(UpdateKind.SNAPSHOT, List.copyOf(backends.values())));
             at(STARTED_AT, this::startCold);
-            at(MS, this::arrive);
+            at(MILLIS, this::arrive);
             if (listChangesEachSecond) {
-                at(S, this::changeList);
+                at(SECONDS, this::changeList);
             }
             while (!due.isEmpty() && due.peek().at() < END) {
                 Due next = due.poll();
@@ -135,16 +142,16 @@
         private void startCold() {
             var news = new ArrayList<Endpoint>();
             for (int i = 0; i < size / RESTARTED; i++) {
-                news.add(LoadBalancerDriver.started("s" + i, now));
-                news.add(LoadBalancerDriver.started("new" + i, now));
+                news.add(endpointStartedAt("s" + i, now));
+                news.add(endpointStartedAt("new" + i, now));
             }
             news.forEach(b -> backends.put(b.id(), b));
             tell(UpdateKind.DELTA, news);
         }
 
         private void changeList() {
-            tell(UpdateKind.DELTA, List.of(LoadBalancerDriver.in(EndpointState.GONE, "other" + now / S)));
-            at(now + S, this::changeList);
+            tell(UpdateKind.DELTA, List.of(endpointInState("other" + now / SECONDS, EndpointState.GONE)));
+            at(now + SECONDS, this::changeList);
         }
 
         private void arrive() {
@@ -178,7 +185,7 @@
             long begin = Math.max(now, freeAt.getOrDefault(to.id(), 0L));
             long service = (long) (SERVICE_US * (0.5 + random.nextDouble()) / capacityPart(to));
             boolean full = begin - now > 10 * SERVICE_US;
-            long endsAt = full ? now + MS : begin + service;
+            long endsAt = full ? now + MILLIS : begin + service;
             boolean late = endsAt > now + send.timeoutUs();
             if (!full) {
                 freeAt.put(to.id(), endsAt);
