--- /dev/null
+++ b/src/test/java/gaugegw/balancer/LargeFleetSelectionTest.java
@@ -0,0 +1,144 @@
+package gaugegw.balancer;
+
+import static gaugegw.balancer.testing.TestEndpoints.endpointIn;
+import static gaugegw.balancer.testing.TestSettings.MILLIS;
+import static gaugegw.balancer.testing.TestSettings.READ;
+import static gaugegw.balancer.testing.TestSettings.SECONDS;
+import static gaugegw.balancer.testing.TestSettings.readOnlySettings;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import gaugegw.balancer.api.Action.StartAttempt;
+import gaugegw.balancer.api.AttemptOutcome;
+import gaugegw.balancer.api.Endpoint;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+
+/** How the proxies of a fleet that is larger than its endpoints spread their requests over these. */
+class LargeFleetSelectionTest {
+    /**
+     * If all proxies began with the same endpoint, a stuck one would have an attempt of each of them. Twelve
+     * proxies that start six attempts each spread them evenly over 24 endpoints.
+     */
+    @Test
+    void stuckEndpointHasAttemptsOfAFewProxiesOnly() {
+        var endpoints = new Endpoint[24];
+        var inFlight = new HashMap<String, Integer>();
+        for (int i = 0; i < endpoints.length; i++) {
+            endpoints[i] = endpointIn("s" + i, i % 2 == 0 ? "a" : "b", 1);
+        }
+        for (int index = 0; index < 12; index++) {
+            var driver = new LoadBalancerDriver(
+                    readOnlySettings().proxy(index, 12).seed(index).build());
+            driver.snapshot(endpoints);
+            for (int i = 0; i < 6; i++) {
+                inFlight.merge(driver.lastAttempt(driver.submit(READ)).endpointId(), 1, Integer::sum);
+            }
+        }
+        assertThat(inFlight)
+                .hasSize(24)
+                .allSatisfy((id, attempts) -> assertThat(attempts).isEqualTo(3));
+    }
+
+    /**
+     * Each proxy sends to one endpoint at a time. Proxies must be spread evenly over the endpoints, and those that
+     * share an endpoint must not all fall back to the same next one when it is stuck, or that one would be
+     * overloaded too.
+     */
+    @Test
+    void proxiesSpreadEvenlyAndFallBackToDifferentEndpoints() {
+        var proxiesByEndpoint = new HashMap<String, Integer>();
+        var fallbacksByEndpoint = new HashMap<String, Set<String>>();
+        for (int index = 0; index < 400; index++) {
+            var proxy = LargeFleet.proxy(index);
+            proxy.serve(READ, 20 * MILLIS);
+            String stuckEndpoint = proxy.lastAttempt(proxy.submit(READ)).endpointId();
+            proxiesByEndpoint.merge(stuckEndpoint, 1, Integer::sum);
+            proxy.advance(300 * MILLIS);
+            fallbacksByEndpoint
+                    .computeIfAbsent(stuckEndpoint, id -> new HashSet<>())
+                    .add(proxy.lastAttempt(proxy.submit(READ)).endpointId());
+        }
+        assertThat(proxiesByEndpoint)
+                .hasSize(60)
+                .allSatisfy((id, proxies) -> assertThat(proxies).isBetween(4, 9));
+        assertThat(fallbacksByEndpoint)
+                .allSatisfy((id, fallbacks) ->
+                        assertThat(fallbacks).doesNotContain(id).hasSizeGreaterThan(3));
+    }
+
+    /**
+     * The endpoint that a proxy uses is busy for a moment. Opening a connection to another endpoint costs more than
+     * the wait: the request is queued and goes to the same endpoint.
+     */
+    @Test
+    void requestWaitsForAnEndpointThatIsMerelyBusy() {
+        var proxy = LargeFleet.proxy(0);
+        String usualEndpoint = proxy.serve(READ, 20 * MILLIS);
+        String inFlight = proxy.submit(READ);
+        proxy.nowUs += MILLIS;
+        String next = proxy.submit(READ);
+        assertThat(proxy.attemptCount(next)).isZero();
+        proxy.endAttempt(inFlight, AttemptOutcome.SUCCESS, MILLIS);
+        assertThat(proxy.lastAttempt(next).endpointId()).isEqualTo(usualEndpoint);
+    }
+
+    /**
+     * The endpoint that a proxy uses stays busy. A request that waited for it any longer would miss its latency
+     * objective, so after 0.4 of that objective it goes to another endpoint.
+     */
+    @Test
+    void requestTurnsToTheNextEndpointInTimeForItsObjective() {
+        var proxy = LargeFleet.proxy(0);
+        for (int i = 0; i < 20; i++) {
+            proxy.serve(READ, 200 * MILLIS);
+            proxy.advance(SECONDS);
+        }
+        String inFlight = proxy.submit(READ);
+        proxy.nowUs += MILLIS;
+        String next = proxy.submit(READ);
+        // Its latency objective is 600 ms: 0.4 of that is 240 ms.
+        proxy.advance(230 * MILLIS);
+        assertThat(proxy.attemptCount(next)).isZero();
+        proxy.advance(50 * MILLIS);
+        assertThat(proxy.lastAttempt(next).endpointId())
+                .isNotEqualTo(proxy.lastAttempt(inFlight).endpointId());
+    }
+
+    /**
+     * Most proxies need a single endpoint. One that has several times the load of the others must spread it, or its
+     * endpoint would be overloaded.
+     */
+    @Test
+    void busierProxyUsesMoreThanOneEndpoint() {
+        assertThat(endpointsUsed(1)).isEqualTo(1);
+        assertThat(endpointsUsed(4)).isBetween(3L, 8L);
+    }
+
+    /**
+     * Counts the endpoints used, once it has settled, by a proxy that has so many requests of 100 ms in flight.
+     */
+    private static long endpointsUsed(int concurrency) {
+        var proxy = LargeFleet.proxy(0);
+        int actionsBefore = 0;
+        for (int i = 0; i < 200; i++) {
+            actionsBefore = i == 150 ? proxy.actions.size() : actionsBefore;
+            var requests = new ArrayList<String>();
+            for (int n = 0; n < concurrency; n++) {
+                requests.add(proxy.submit(READ));
+            }
+            proxy.advance(100 * MILLIS);
+            requests.stream()
+                    .filter(id -> proxy.attemptCount(id) > 0)
+                    .forEach(id -> proxy.endAttempt(id, AttemptOutcome.SUCCESS, 100 * MILLIS));
+            proxy.advance(concurrency == 1 ? 200 * MILLIS : 0);
+        }
+        return proxy.actions.subList(actionsBefore, proxy.actions.size()).stream()
+                .filter(a -> a instanceof StartAttempt)
+                .map(a -> ((StartAttempt) a).endpointId())
+                .distinct()
+                .count();
+    }
+}
--- a/src/test/java/gaugegw/balancer/LoadBalancerDriver.java
+++ b/src/test/java/gaugegw/balancer/LoadBalancerDriver.java
@@ -17,17 +17,27 @@
 import gaugegw.balancer.api.UpdateKind;
 import gaugegw.balancer.testing.TestSettings;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 
-/** Stands in for the proxy round one module: it feeds the module by hand and keeps what the module asked for. */
+/**
+ * Takes the place of the proxy around one load balancer: a test feeds it events one by one and the driver records the
+ * actions. The clock moves only when a test sets {@link #nowUs} or calls {@link #advance}.
+ */
 final class LoadBalancerDriver {
     final EarliestDeadlineLoadBalancer balancer;
+
+    /** All actions so far, in the order emitted. */
     final List<Action> actions = new ArrayList<>();
+
+    /** The clock, in microseconds. */
     long nowUs = 1000 * SECONDS;
+
     private final Map<String, Integer> attemptCounts = new HashMap<>();
     private final Set<SetTimer> firedTimers = new HashSet<>();
     private int nextRequestNumber;
@@ -40,87 +50,112 @@
         this(TestSettings.settings().build());
     }
 
-    /** Feeds an event and returns what the module asked for because of it. */
+    /** Feeds an event and returns the actions that it caused. */
     List<Action> handle(Event event) {
         int before = actions.size();
         balancer.handle(nowUs, event, action -> {
             actions.add(action);
-            if (action instanceof StartAttempt s) {
-                attemptCounts.merge(s.requestId(), 1, Integer::sum);
+            if (action instanceof StartAttempt start) {
+                attemptCounts.merge(start.requestId(), 1, Integer::sum);
             }
         });
         return List.copyOf(actions.subList(before, actions.size()));
     }
 
-    void snapshot(Endpoint... backends) {
-        handle(new EndpointUpdate(UpdateKind.SNAPSHOT, List.of(backends)));
+    /** Feeds a complete endpoint list. */
+    List<Action> snapshot(Endpoint... endpoints) {
+        return handle(new EndpointUpdate(UpdateKind.SNAPSHOT, List.of(endpoints)));
+    }
+
+    /** Feeds changes of the endpoint list. */
+    List<Action> delta(Endpoint... endpoints) {
+        return handle(new EndpointUpdate(UpdateKind.DELTA, List.of(endpoints)));
     }
 
-    /** A request arrives; returns its id. */
-    String submit(RequestClass type) {
-        return submit(type, null);
+    /** Feeds the endpoint list that the proxy had cached before its start. */
+    List<Action> cached(Endpoint... endpoints) {
+        return handle(new EndpointUpdate(UpdateKind.CACHED, List.of(endpoints)));
     }
 
-    String submit(RequestClass type, String tenant) {
+    /** Feeds a failed call to discovery. */
+    List<Action> pollFailed() {
+        return handle(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
+    }
+
+    /** Submits a request without a tenant, with all of its class's deadline ahead, and returns its id. */
+    String submit(RequestClass requestClass) {
+        return submit(requestClass, null);
+    }
+
+    /** Submits a request of a tenant, with all of its class's deadline ahead, and returns its id. */
+    String submit(RequestClass requestClass, String tenant) {
         String id = "r" + nextRequestNumber++;
-        handle(new RequestArrived(id, type.name(), tenant, null, type.deadlineUs(), false));
+        handle(new RequestArrived(id, requestClass.name(), tenant, null, requestClass.deadlineUs(), false));
         return id;
     }
 
-    /** The latest attempt of a request ends. */
-    List<Action> endAttempt(String id, AttemptOutcome outcome, long latencyUs) {
-        StartAttempt send = lastAttempt(id);
+    /** Ends the latest attempt of a request; a success ends the request as well. */
+    List<Action> endAttempt(String requestId, AttemptOutcome outcome, long latencyUs) {
         return handle(new AttemptEnded(
-                id,
-                attemptCounts.get(id) - 1,
-                send.endpointId(),
+                requestId,
+                attemptCounts.get(requestId) - 1,
+                lastAttempt(requestId).endpointId(),
                 outcome,
                 latencyUs,
                 outcome == AttemptOutcome.SUCCESS));
     }
 
+    /** Submits a request, lets time pass and answers it; returns the id of the endpoint that it was sent to. */
+    String serve(RequestClass requestClass, long latencyUs) {
+        String id = submit(requestClass);
+        nowUs += latencyUs;
+        endAttempt(id, AttemptOutcome.SUCCESS, latencyUs);
+        return lastAttempt(id).endpointId();
+    }
+
     List<Action> fireTimer(String token) {
         return handle(new TimerFired(token));
     }
 
-    /** Time passes: the timers asked for so far, and those asked for meanwhile, fire when they are due. */
-    void advance(long forUs) {
-        long until = nowUs + forUs;
-        while (true) {
-            var due = actions.stream()
-                    .filter(a -> a instanceof SetTimer t && t.atUs() <= until && !firedTimers.contains(t))
-                    .map(a -> (SetTimer) a)
-                    .min(java.util.Comparator.comparingLong(SetTimer::atUs));
-            if (due.isEmpty()) {
-                nowUs = until;
-                return;
-            }
-            firedTimers.add(due.get());
-            nowUs = Math.max(nowUs, due.get().atUs());
-            fireTimer(due.get().token());
+    /** Lets time pass: each timer fires when it is due, including those that are set meanwhile. */
+    void advance(long durationUs) {
+        long untilUs = nowUs + durationUs;
+        for (Optional<SetTimer> due = nextTimer(untilUs); due.isPresent(); due = nextTimer(untilUs)) {
+            SetTimer timer = due.get();
+            firedTimers.add(timer);
+            nowUs = Math.max(nowUs, timer.atUs());
+            fireTimer(timer.token());
         }
+        nowUs = untilUs;
     }
 
-    StartAttempt lastAttempt(String id) {
+    private Optional<SetTimer> nextTimer(long untilUs) {
+        return actions.stream()
+                .filter(action ->
+                        action instanceof SetTimer timer && timer.atUs() <= untilUs && !firedTimers.contains(timer))
+                .map(SetTimer.class::cast)
+                .min(Comparator.comparingLong(SetTimer::atUs));
+    }
+
+    /** Returns the latest attempt of a request, or null if none was started. */
+    StartAttempt lastAttempt(String requestId) {
         StartAttempt last = null;
         for (Action action : actions) {
-            if (action instanceof StartAttempt s && s.requestId().equals(id)) {
-                last = s;
+            if (action instanceof StartAttempt start && start.requestId().equals(requestId)) {
+                last = start;
             }
         }
         return last;
     }
 
-    int attemptCount(String id) {
-        return attemptCounts.getOrDefault(id, 0);
+    /** Returns how many attempts of a request were started. */
+    int attemptCount(String requestId) {
+        return attemptCounts.getOrDefault(requestId, 0);
     }
 
-    /** A request arrives and is answered after a while; returns the backend that it went to. */
-    String serve(RequestClass type, long latencyUs) {
-        String id = submit(type);
-        nowUs += latencyUs;
-        endAttempt(id, AttemptOutcome.SUCCESS, latencyUs);
-        return lastAttempt(id).endpointId();
+    /** Returns how many attempts of all requests were started. */
+    long startedAttempts() {
+        return actions.stream().filter(action -> action instanceof StartAttempt).count();
     }
 
     boolean hasEmitted(Action action) {
