--- a/src/main/java/gaugegw/proxy/lifecycle/GracefulShutdown.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/GracefulShutdown.java
@@ -1,6 +1,5 @@
 package gaugegw.proxy.lifecycle;
 
-import gaugegw.balancer.api.RequestClass;
 import gaugegw.proxy.client.Frontend;
 import gaugegw.proxy.config.ProxyConfig;
 import gaugegw.proxy.dispatch.RequestDispatcher;
@@ -10,87 +9,91 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Ends a proxy's service in time: answers all requests that it has taken and sends the clients elsewhere. Clients may
- * keep their connections for most of it: the proxy that they would turn to may itself have just started.
+ * Drains a proxy before its process ends: answers all requests in flight, and has the clients reconnect elsewhere.
+ * Clients keep their connections for most of the time, as the proxy that they would reconnect to may itself have just
+ * started.
+ *
+ * <p>The steps, in the order of the times that {@link DrainSchedule} gives them, all on the event loop:
+ *
+ * <ol>
+ *   <li><b>announce</b>: readiness checks fail from now on, so that no new clients are assigned;
+ *   <li><b>stop accepting</b>, and begin to look whether all clients have disconnected;
+ *   <li><b>close after responses</b>: clients that keep sending leave with a complete response;
+ *   <li><b>close idle</b>: clients that send nothing are disconnected;
+ *   <li><b>fail the remaining requests</b>, so that none ends with the process and without a response.
+ * </ol>
  */
 final class GracefulShutdown {
-    /** New connections keep arriving for up to 400 ms after the signal (protocol page): accept for a little longer. */
-    private static final long ACCEPT_GRACE_MS = 500;
+    /** Time between two checks of whether a client is still connected, in milliseconds. */
+    private static final long CHECK_INTERVAL_MS = 10;
 
-    private static final long POLL_INTERVAL_MS = 10;
-    /** SIGKILL comes 700 ms after the longest deadline, which counts as this at most (protocol page). */
-    private static final long MAX_DEADLINE_MS = 3_000;
-
-    /** The process ends so long after the longest deadline: before SIGKILL. */
-    private static final long EXIT_DELAY_MS = 600;
-    /** Requests still open so long before the end are failed: they have had the time that most answers take. */
-    private static final long FAIL_BEFORE_EXIT_MS = 50;
+    /** Longest wait for the last log line, in milliseconds; a busy loop must not delay the end for it. */
+    private static final long LOG_TIMEOUT_MS = 10;
 
     private final EventLoop loop;
     private final RateLimitedLog log;
     private final ProxyConfig config;
     private final Frontend frontend;
-    private final RequestDispatcher proxy;
-    private final CountDownLatch drained = new CountDownLatch(1);
+    private final RequestDispatcher dispatcher;
+    private final CountDownLatch clientsDisconnected = new CountDownLatch(1);
+    /** Written by the thread that drains, read by the one that starts. */
     private volatile boolean begun;
 
     GracefulShutdown(
-            EventLoop loop, RateLimitedLog log, ProxyConfig config, Frontend frontend, RequestDispatcher proxy) {
+            EventLoop loop, RateLimitedLog log, ProxyConfig config, Frontend frontend, RequestDispatcher dispatcher) {
         this.loop = loop;
         this.log = log;
         this.config = config;
         this.frontend = frontend;
-        this.proxy = proxy;
+        this.dispatcher = dispatcher;
     }
 
-    /** Drains, and returns when no client is connected any more or the time is up. */
+    /** Drains, and returns when no client is connected any more or the time is up. Not to be called on the event loop. */
     void run() {
         begun = true;
-        long deadlineMs = Math.min(MAX_DEADLINE_MS, longestDeadlineMs());
-        loop.execute(() -> {
-            log.line(config.name() + ": draining");
-            frontend.leave();
-        });
-        after(ACCEPT_GRACE_MS, this::stopAccepting);
-        after(Math.max(0, deadlineMs - ACCEPT_GRACE_MS), frontend::closeAfterAnswers);
-        after(deadlineMs, frontend::closeIdle);
-        after(deadlineMs + EXIT_DELAY_MS - FAIL_BEFORE_EXIT_MS, proxy::failAll);
-        awaitDrained(deadlineMs + EXIT_DELAY_MS);
+        DrainSchedule schedule = DrainSchedule.of(config.settings());
+        loop.execute(this::announce);
+        after(schedule.stopAcceptingMs(), this::stopAccepting);
+        after(schedule.closeAfterResponsesMs(), frontend::closeAfterAnswers);
+        after(schedule.closeIdleMs(), frontend::closeIdle);
+        after(schedule.failRemainingMs(), dispatcher::failAll);
+        awaitDisconnects(schedule.exitMs());
     }
 
-    /** Returns whether the process has been told to end; from any thread. */
+    /** Returns whether the drain has begun; from any thread. */
     boolean hasBegun() {
         return begun;
     }
 
-    private long longestDeadlineMs() {
-        long longestUs = config.settings().requestClasses().stream()
-                .mapToLong(RequestClass::deadlineUs)
-                .max()
-                .orElse(0);
-        return longestUs / 1_000;
-    }
-
     private void after(long delayMs, Runnable step) {
         loop.schedule(step, delayMs, TimeUnit.MILLISECONDS);
     }
 
+    private void announce() {
+        assert loop.inEventLoop();
+        log.line(config.name() + ": draining");
+        frontend.leave();
+    }
+
     private void stopAccepting() {
+        assert loop.inEventLoop();
         frontend.stopListening();
-        loop.scheduleWithFixedDelay(this::checkDrained, POLL_INTERVAL_MS, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(
+                this::checkDisconnected, CHECK_INTERVAL_MS, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void checkDrained() {
+    private void checkDisconnected() {
+        assert loop.inEventLoop();
         if (frontend.connected() == 0) {
-            drained.countDown();
+            clientsDisconnected.countDown();
         }
     }
 
-    private void awaitDrained(long limitMs) {
+    private void awaitDisconnects(long limitMs) {
         try {
-            boolean all = drained.await(limitMs, TimeUnit.MILLISECONDS);
+            boolean all = clientsDisconnected.await(limitMs, TimeUnit.MILLISECONDS);
             loop.submit(() -> log.line(config.name() + (all ? ": drained" : ": ends with clients still connected")))
-                    .awaitUninterruptibly(POLL_INTERVAL_MS);
+                    .awaitUninterruptibly(LOG_TIMEOUT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
