--- a/src/main/java/gaugegw/Main.java
+++ b/src/main/java/gaugegw/Main.java
@@ -1,11 +1,14 @@
 package gaugegw;
 
-import gaugegw.proxy.lifecycle.ProxyServer;
+import gaugegw.proxy.lifecycle.ExitStatus;
+import gaugegw.proxy.lifecycle.LoadClassesCommand;
+import gaugegw.proxy.lifecycle.ServeCommand;
+import gaugegw.simulator.SimulatorCommand;
 import java.io.IOException;
 
 /**
- * The command line: {@code serve} runs one real proxy, {@code simulate} the module on the simulator's wire, and
- * {@code load-classes} the warm-up alone, for the archive of loaded classes that makes starts fast.
+ * The command line: {@code serve} runs one proxy, {@code simulate} runs its load balancer on the simulator's wire, and
+ * {@code load-classes} loads what {@code serve} needs, for the archive of classes that shortens its starts.
  */
 public final class Main {
     private Main() {}
@@ -19,12 +22,12 @@
     public static void main(String[] args) throws IOException {
         String command = args.length == 1 ? args[0] : "";
         switch (command) {
-            case "serve" -> ProxyServer.main(args);
-            case "load-classes" -> ProxyServer.loadClasses();
-            case "simulate" -> gaugegw.simulator.SimulatorCommand.main(args);
+            case "serve" -> ServeCommand.run();
+            case "load-classes" -> LoadClassesCommand.run();
+            case "simulate" -> SimulatorCommand.main(args);
             default -> {
                 System.err.println("usage: java -jar gaugegw.jar serve|load-classes|simulate");
-                System.exit(2);
+                System.exit(ExitStatus.USAGE);
             }
         }
     }
