--- a/src/main/java/gaugegw/proxy/config/JsonTrees.java
+++ b/src/main/java/gaugegw/proxy/config/JsonTrees.java
@@ -9,12 +9,13 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.MissingNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import com.fasterxml.jackson.databind.node.ValueNode;
 import java.io.IOException;
 import java.io.InputStream;
 
 /**
- * Puts what Jackson's parser reads into Jackson's nodes. Its {@code ObjectMapper} does the same, but sets up formats of
- * dates, locales and all that beans need first: a quarter of what a start costs.
+ * Reads JSON documents into Jackson's nodes. Jackson's {@code ObjectMapper} does the same, but first sets up date
+ * formats, locales and the introspection of beans, none of which is used here and all of which would delay a start.
  */
 public final class JsonTrees {
     private static final JsonFactory FACTORY = new JsonFactory();
@@ -22,54 +23,59 @@
 
     private JsonTrees() {}
 
+    /** Returns a new empty object. */
     public static ObjectNode object() {
         return NODES.objectNode();
     }
 
-    /** Returns the document, or a {@link MissingNode} where there is none. */
+    /**
+     * Reads a document, and closes it.
+     *
+     * @return the document's value, or a {@link MissingNode} where it is empty
+     * @throws com.fasterxml.jackson.core.JsonProcessingException if it is no JSON or nests too deep
+     * @throws IOException if it can't be read
+     */
     public static JsonNode read(InputStream document) throws IOException {
         try (JsonParser parser = FACTORY.createParser(document)) {
             return parser.nextToken() == null ? MissingNode.getInstance() : value(parser);
         }
     }
 
-    /** Reads the value that begins with the current token. How deep it may nest is the parser's limit. */
+    /** Reads the value that begins with the current token. The recursion is bounded by the parser's limit on nesting. */
     private static JsonNode value(JsonParser parser) throws IOException {
-        switch (parser.currentToken()) {
-            case START_OBJECT -> {
-                ObjectNode object = NODES.objectNode();
-                while (parser.nextToken() != JsonToken.END_OBJECT) {
-                    String name = parser.currentName();
-                    parser.nextToken();
-                    object.set(name, value(parser));
-                }
-                return object;
-            }
-            case START_ARRAY -> {
-                ArrayNode array = NODES.arrayNode();
-                while (parser.nextToken() != JsonToken.END_ARRAY) {
-                    array.add(value(parser));
-                }
-                return array;
-            }
-            case VALUE_STRING -> {
-                return NODES.textNode(parser.getText());
-            }
-            case VALUE_NUMBER_INT -> {
-                return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-                        ? NODES.numberNode(parser.getBigIntegerValue())
-                        : NODES.numberNode(parser.getLongValue());
-            }
-            case VALUE_NUMBER_FLOAT -> {
-                return NODES.numberNode(parser.getDoubleValue());
-            }
-            case VALUE_TRUE, VALUE_FALSE -> {
-                return NODES.booleanNode(parser.getBooleanValue());
-            }
-            case VALUE_NULL -> {
-                return NODES.nullNode();
-            }
+        return switch (parser.currentToken()) {
+            case START_OBJECT -> object(parser);
+            case START_ARRAY -> array(parser);
+            case VALUE_STRING -> NODES.textNode(parser.getText());
+            case VALUE_NUMBER_INT -> integer(parser);
+            case VALUE_NUMBER_FLOAT -> NODES.numberNode(parser.getDoubleValue());
+            case VALUE_TRUE, VALUE_FALSE -> NODES.booleanNode(parser.getBooleanValue());
+            case VALUE_NULL -> NODES.nullNode();
             default -> throw new JsonParseException(parser, "no value where one is wanted");
+        };
+    }
+
+    private static ObjectNode object(JsonParser parser) throws IOException {
+        ObjectNode object = NODES.objectNode();
+        while (parser.nextToken() != JsonToken.END_OBJECT) {
+            String name = parser.currentName();
+            parser.nextToken();
+            object.set(name, value(parser));
         }
+        return object;
+    }
+
+    private static ArrayNode array(JsonParser parser) throws IOException {
+        ArrayNode array = NODES.arrayNode();
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
+            array.add(value(parser));
+        }
+        return array;
+    }
+
+    private static ValueNode integer(JsonParser parser) throws IOException {
+        return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
+                ? NODES.numberNode(parser.getBigIntegerValue())
+                : NODES.numberNode(parser.getLongValue());
     }
 }
