--- a/src/main/java/gaugegw/proxy/config/ConfigFileWatcher.java
+++ b/src/main/java/gaugegw/proxy/config/ConfigFileWatcher.java
@@ -5,44 +5,51 @@
 import java.nio.file.Path;
 import java.nio.file.attribute.BasicFileAttributes;
 import java.nio.file.attribute.FileTime;
-import java.util.function.Consumer;
 
 /**
  * Polls the configuration file for replacement, for a process that can't receive the signal to reload it. While the
  * file is missing or invalid, the last valid configuration stays in force and the file is read again at each poll.
+ *
+ * <p>One thread polls, and calls the listener.
  */
 public final class ConfigFileWatcher {
     /**
-     * Time between two polls, in milliseconds. The platform closes the old discovery address 1.5 s after the signal and
-     * counts news as told after 4 s: a replacement is read well inside either.
+     * Time between two polls, in milliseconds. The old discovery address closes its connections 1.5 s after a
+     * replacement, and 4 s after it a change of the endpoint list binds the proxy: it is to be found well before either.
      */
     public static final long POLL_INTERVAL_MS = 200;
 
+    /** Is called on the thread that polls. */
+    public interface Listener {
+        /** The file holds another configuration than the one in force. */
+        void configChanged(ProxyConfig config);
+
+        /** The file's state can't be used; called once for each state. */
+        void configRejected(Exception reason);
+    }
+
     private final Path file;
-    private final Consumer<ProxyConfig> onChange;
-    private final Consumer<Exception> onInvalid;
+    private final Listener listener;
     private ProxyConfig current;
-    private FileState lastRead;
-    private FileState confirmed;
-    private FileState lastInvalid;
+    private FileState lastValid = FileState.NONE;
+    /** The state that was valid at two polls: it is not read again. */
+    private FileState confirmed = FileState.NONE;
+
+    private FileState lastRejected = FileState.NONE;
 
     /**
      * Creates a watcher; nothing is polled yet.
      *
      * @param current the configuration in force: whatever else the file holds is a change, also one that came between
      *     the reading of {@code current} and the first poll
-     * @param onChange receives each new valid configuration
-     * @param onInvalid receives the reason why a state of the file can't be used, once for each state
      */
-    public ConfigFileWatcher(
-            Path file, ProxyConfig current, Consumer<ProxyConfig> onChange, Consumer<Exception> onInvalid) {
+    public ConfigFileWatcher(Path file, ProxyConfig current, Listener listener) {
         this.file = file;
         this.current = current;
-        this.onChange = onChange;
-        this.onInvalid = onInvalid;
+        this.listener = listener;
     }
 
-    /** Polls from now on, on a thread of its own, as long as the process runs. */
+    /** Polls from now on, on a daemon thread of its own, as long as the process runs. */
     public void start() {
         var thread = new Thread(this::run, "config-file-watcher");
         thread.setDaemon(true);
@@ -72,28 +79,40 @@
         }
         try {
             ProxyConfig config = ProxyConfig.read(file);
-            confirmed = state.equals(lastRead) ? state : null;
-            lastRead = state;
-            if (!config.equals(current)) {
-                current = config;
-                onChange.accept(config);
-            }
-        } catch (ProxyConfig.InvalidConfigException | RuntimeException e) {
+            accept(state, config);
+        } catch (InvalidConfigException | RuntimeException e) {
             reject(state, e);
         }
     }
 
+    private void accept(FileState state, ProxyConfig config) {
+        confirmed = state.equals(lastValid) ? state : FileState.NONE;
+        lastValid = state;
+        if (!config.equals(current)) {
+            current = config;
+            listener.configChanged(config);
+        }
+    }
+
     private void reject(FileState state, Exception reason) {
-        lastRead = null;
-        if (!state.equals(lastInvalid)) {
-            lastInvalid = state;
-            onInvalid.accept(reason);
+        lastValid = FileState.NONE;
+        if (!state.equals(lastRejected)) {
+            lastRejected = state;
+            listener.configRejected(reason);
         }
     }
 
-    /** What tells a replaced file from the one before: its identity (the inode), modification time and size in bytes. */
-    private record FileState(Object key, FileTime modified, long size) {
-        private static final FileState UNREADABLE = new FileState(null, null, -1);
+    /**
+     * What tells a replaced file from the one before.
+     *
+     * @param key the file's identity, such as its inode
+     * @param sizeBytes -1 for a state that is no file's
+     */
+    private record FileState(Object key, FileTime modified, long sizeBytes) {
+        /** Equals the state of no file, nor that of a missing one. */
+        static final FileState NONE = noFile("none");
+
+        private static final FileState UNREADABLE = noFile("unreadable");
 
         static FileState of(Path file) {
             try {
@@ -103,5 +122,9 @@
                 return UNREADABLE;
             }
         }
+
+        private static FileState noFile(String key) {
+            return new FileState(key, FileTime.fromMillis(0), -1);
+        }
     }
 }
--- /dev/null
+++ b/src/main/java/gaugegw/proxy/config/ProxyConfigReader.java
@@ -0,0 +1,113 @@
+package gaugegw.proxy.config;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.MissingNode;
+import gaugegw.balancer.api.BalancerSettings;
+import gaugegw.settings.SettingsReader;
+import java.net.InetSocketAddress;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+
+/** Reads a {@link ProxyConfig} from JSON, and maps the names of its fields to those of the code. */
+final class ProxyConfigReader {
+    /** With fewer descriptors no connections are left beside what the runtime and discovery need. */
+    private static final int MIN_DESCRIPTORS = 128;
+
+    private static final int SEED_RADIX = 16;
+
+    private final JsonNode json;
+
+    ProxyConfigReader(JsonNode json) {
+        this.json = json;
+    }
+
+    ProxyConfig read() throws InvalidConfigException {
+        Map<String, String> settings = settingsByPath();
+        try {
+            return new ProxyConfig(
+                    text("name"),
+                    address("listen"),
+                    address("discovery"),
+                    descriptorLimit(),
+                    cachedEndpoints(),
+                    settings(settings),
+                    SettingsReader.whole(settings, "bounds.conn_idle_us"),
+                    SettingsReader.whole(settings, "bounds.connect_timeout_us"));
+        } catch (IllegalArgumentException e) {
+            throw InvalidConfigException.settings(e);
+        }
+    }
+
+    private String text(String field) throws InvalidConfigException {
+        String text = json.path(field).asText("");
+        if (text.isEmpty()) {
+            throw InvalidConfigException.missing(field);
+        }
+        return text;
+    }
+
+    private InetSocketAddress address(String field) throws InvalidConfigException {
+        String text = text(field);
+        Optional<InetSocketAddress> address = SocketAddresses.parse(text);
+        if (address.isEmpty()) {
+            throw InvalidConfigException.malformed(field, text, "address and port");
+        }
+        return address.get();
+    }
+
+    private int descriptorLimit() throws InvalidConfigException {
+        JsonNode limit = json.path("limits").path("sockets");
+        if (!limit.canConvertToInt() || limit.asInt() < MIN_DESCRIPTORS) {
+            throw InvalidConfigException.notAllowed(
+                    "limits.sockets", limit.asText(), "a number of at least " + MIN_DESCRIPTORS);
+        }
+        return limit.asInt();
+    }
+
+    private JsonNode cachedEndpoints() {
+        JsonNode known = json.path("known");
+        return known.isObject() ? known : MissingNode.getInstance();
+    }
+
+    private BalancerSettings settings(Map<String, String> settings) throws InvalidConfigException {
+        return SettingsReader.read(settings, seed());
+    }
+
+    private long seed() throws InvalidConfigException {
+        String text = text("seed");
+        try {
+            return Long.parseUnsignedLong(text, SEED_RADIX);
+        } catch (NumberFormatException e) {
+            throw InvalidConfigException.malformed("seed", text, "hexadecimal number of 64 bits");
+        }
+    }
+
+    /** Returns the nested settings by their paths, as the simulator's wire has them and the settings' reader wants. */
+    private Map<String, String> settingsByPath() throws InvalidConfigException {
+        JsonNode settings = json.path("settings");
+        if (!settings.isObject()) {
+            throw InvalidConfigException.notAllowed("settings", settings.asText(), "an object");
+        }
+        var values = new HashMap<String, String>();
+        flatten("", settings, values);
+        return values;
+    }
+
+    private static void flatten(String path, JsonNode node, Map<String, String> values) {
+        if (node.isObject()) {
+            node.properties().forEach(e -> flatten(child(path, e.getKey()), e.getValue(), values));
+        } else if (node.isArray()) {
+            values.put(child(path, "count"), Integer.toString(node.size()));
+            for (int i = 0; i < node.size(); i++) {
+                flatten(child(path, Integer.toString(i)), node.get(i), values);
+            }
+        } else {
+            values.put(path, node.asText());
+        }
+    }
+
+    private static String child(String path, String name) {
+        return path.isEmpty() ? name : path + "." + name;
+    }
+}
--- a/src/main/java/gaugegw/proxy/discovery/EndpointList.java
+++ b/src/main/java/gaugegw/proxy/discovery/EndpointList.java
@@ -4,7 +4,7 @@
 import gaugegw.balancer.api.Endpoint;
 import gaugegw.balancer.api.EndpointState;
 import gaugegw.proxy.config.JsonTrees;
-import gaugegw.proxy.config.ProxyConfig;
+import gaugegw.proxy.config.SocketAddresses;
 import gaugegw.proxy.logging.RateLimitedLog;
 import java.io.IOException;
 import java.io.InputStream;
@@ -64,10 +64,9 @@
         return new EndpointList(version.asLong(), list.path("full").asBoolean(), endpoints(list.path("servers"), log));
     }
 
-    /** Takes over the list that a proxy had in its last life, where there is one. */
+    /** Reads the list that a proxy had before its restart; a missing node is an empty list without a version. */
     static EndpointList cached(JsonNode list, RateLimitedLog log) {
-        JsonNode known = list == null ? JsonTrees.object() : list;
-        return new EndpointList(known.path("version").asLong(NO_VERSION), true, endpoints(known.path("servers"), log));
+        return new EndpointList(list.path("version").asLong(NO_VERSION), true, endpoints(list.path("servers"), log));
     }
 
     private static List<ListedEndpoint> endpoints(JsonNode entries, RateLimitedLog log) {
@@ -89,7 +88,8 @@
 
     private static ListedEndpoint endpoint(JsonNode entry) {
         EndpointState state = STATES.get(entry.path("state").asText());
-        InetSocketAddress address = ProxyConfig.address(entry.path("addr").asText());
+        InetSocketAddress address =
+                SocketAddresses.parse(entry.path("addr").asText()).orElse(null);
         String id = entry.path("id").asText();
         double weight = entry.path("weight").asDouble(DEFAULT_WEIGHT);
         if (state == null || address == null || id.isEmpty() || !(weight > 0) || Double.isInfinite(weight)) {
--- a/src/main/java/gaugegw/proxy/lifecycle/LoadClassesCommand.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/LoadClassesCommand.java
@@ -1,5 +1,6 @@
 package gaugegw.proxy.lifecycle;
 
+import gaugegw.proxy.config.InvalidConfigException;
 import gaugegw.proxy.config.ProxyConfig;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -22,7 +23,7 @@
             Warmup.run(config, WARMUP_LIMIT_MS);
             SignalHandlers.install(SignalHandlers.RELOAD, () -> {});
             listenAndStop(config);
-        } catch (ProxyConfig.InvalidConfigException e) {
+        } catch (InvalidConfigException e) {
             ServeCommand.exit(e);
         }
     }
--- a/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
@@ -3,6 +3,7 @@
 import gaugegw.balancer.EarliestDeadlineLoadBalancer;
 import gaugegw.balancer.api.LoadBalancer;
 import gaugegw.proxy.client.Frontend;
+import gaugegw.proxy.config.InvalidConfigException;
 import gaugegw.proxy.config.ProxyConfig;
 import gaugegw.proxy.discovery.EndpointWatcher;
 import gaugegw.proxy.dispatch.RequestDispatcher;
@@ -73,17 +74,16 @@
      * Begins to serve.
      *
      * @return the address, or empty where the drain began meanwhile: no client is accepted then
-     * @throws ProxyConfig.InvalidConfigException if the address can't be listened on
+     * @throws InvalidConfigException if the address can't be listened on
      */
-    public Optional<InetSocketAddress> start() throws ProxyConfig.InvalidConfigException {
+    public Optional<InetSocketAddress> start() throws InvalidConfigException {
         ChannelFuture bound = listen().awaitUninterruptibly();
         if (shutdown.hasBegun()) {
             bound.channel().close();
             return Optional.empty();
         }
         if (!bound.isSuccess()) {
-            throw new ProxyConfig.InvalidConfigException(
-                    "'listen': " + bound.cause().getMessage());
+            throw InvalidConfigException.cannotListen(config.listen().toString(), bound.cause());
         }
         var address = (InetSocketAddress) bound.channel().localAddress();
         report("listening on " + address.getPort()
@@ -108,7 +108,7 @@
     public synchronized void reload(Path file) {
         try {
             applyConfig(ProxyConfig.read(file));
-        } catch (ProxyConfig.InvalidConfigException e) {
+        } catch (InvalidConfigException e) {
             rejectConfig(e);
         }
     }
--- a/src/main/java/gaugegw/proxy/lifecycle/ServeCommand.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/ServeCommand.java
@@ -1,6 +1,7 @@
 package gaugegw.proxy.lifecycle;
 
 import gaugegw.proxy.config.ConfigFileWatcher;
+import gaugegw.proxy.config.InvalidConfigException;
 import gaugegw.proxy.config.ProxyConfig;
 import gaugegw.proxy.discovery.EndpointWatcher;
 import java.nio.file.Path;
@@ -47,27 +48,27 @@
                 Warmup.run(config, WARMUP_LIMIT_MS);
             }
             new ServeCommand(file, config).serve();
-        } catch (ProxyConfig.InvalidConfigException e) {
+        } catch (InvalidConfigException e) {
             exit(e);
         }
     }
 
     /** Returns the configuration file that the environment names. */
-    static Path configFile() throws ProxyConfig.InvalidConfigException {
+    static Path configFile() throws InvalidConfigException {
         String file = System.getenv(CONFIG_VARIABLE);
         if (file == null || file.isEmpty()) {
-            throw new ProxyConfig.InvalidConfigException(CONFIG_VARIABLE + " is not set");
+            throw InvalidConfigException.variableNotSet(CONFIG_VARIABLE);
         }
         return Path.of(file);
     }
 
     /** Reports a configuration that can't be used, and ends the process at once: there are no clients to drain. */
-    static void exit(ProxyConfig.InvalidConfigException reason) {
+    static void exit(InvalidConfigException reason) {
         System.err.println("bad configuration: " + reason.getMessage());
         Runtime.getRuntime().halt(ExitStatus.INVALID_CONFIG);
     }
 
-    private void serve() throws ProxyConfig.InvalidConfigException {
+    private void serve() throws InvalidConfigException {
         // Before the proxy listens: without a handler either signal ends the process, and loses the requests in flight.
         Runtime.getRuntime().addShutdownHook(new Thread(this::drainAndHalt, "drain"));
         handleTermination();
@@ -96,6 +97,19 @@
         }
         server.report("SIGHUP is inherited as ignored: " + configFile + " is polled every "
                 + ConfigFileWatcher.POLL_INTERVAL_MS + " ms for a new configuration");
-        new ConfigFileWatcher(configFile, config, server::applyConfig, server::rejectConfig).start();
+        new ConfigFileWatcher(configFile, config, new ReloadListener()).start();
+    }
+
+    /** Hands what the file's watcher finds to the proxy. */
+    private final class ReloadListener implements ConfigFileWatcher.Listener {
+        @Override
+        public void configChanged(ProxyConfig changed) {
+            server.applyConfig(changed);
+        }
+
+        @Override
+        public void configRejected(Exception reason) {
+            server.rejectConfig(reason);
+        }
     }
 }
--- a/src/main/java/gaugegw/proxy/lifecycle/Warmup.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/Warmup.java
@@ -5,6 +5,7 @@
 import gaugegw.balancer.EarliestDeadlineLoadBalancer;
 import gaugegw.proxy.config.JsonTrees;
 import gaugegw.proxy.config.ProxyConfig;
+import gaugegw.proxy.config.SocketAddresses;
 import gaugegw.proxy.transport.Transport;
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
@@ -101,6 +102,6 @@
     }
 
     private static InetSocketAddress address(int port) {
-        return ProxyConfig.address(hostAndPort(port));
+        return SocketAddresses.parse(hostAndPort(port)).orElseThrow();
     }
 }
--- a/src/test/java/gaugegw/proxy/config/ConfigFileWatcherTest.java
+++ b/src/test/java/gaugegw/proxy/config/ConfigFileWatcherTest.java
@@ -28,11 +28,17 @@
     @BeforeEach
     void readConfig() throws Exception {
         file = Files.writeString(folder.resolve("config.json"), ProxyFixture.config(FIRST));
-        watcher = new ConfigFileWatcher(
-                file,
-                ProxyConfig.read(file),
-                config -> taken.add("127.0.0.1:" + config.discovery().getPort()),
-                reason -> invalid.add(reason.getMessage()));
+        watcher = new ConfigFileWatcher(file, ProxyConfig.read(file), new ConfigFileWatcher.Listener() {
+            @Override
+            public void configChanged(ProxyConfig config) {
+                taken.add("127.0.0.1:" + config.discovery().getPort());
+            }
+
+            @Override
+            public void configRejected(Exception reason) {
+                invalid.add(reason.getMessage());
+            }
+        });
     }
 
     @Test
--- a/src/test/java/gaugegw/proxy/config/ProxyConfigTest.java
+++ b/src/test/java/gaugegw/proxy/config/ProxyConfigTest.java
@@ -53,7 +53,7 @@
             })
     void namesTheFieldThatIsWrong(String field, String value, String message) throws Exception {
         assertThatThrownBy(() -> ProxyConfig.parse(ProxyFixture.config().put(field, value)))
-                .isInstanceOf(ProxyConfig.InvalidConfigException.class)
+                .isInstanceOf(InvalidConfigException.class)
                 .hasMessage(message);
     }
 
@@ -73,11 +73,11 @@
     void saysWhereAFileIsNoConfiguration(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("config.json");
         assertThatThrownBy(() -> ProxyConfig.read(file))
-                .isInstanceOf(ProxyConfig.InvalidConfigException.class)
+                .isInstanceOf(InvalidConfigException.class)
                 .hasMessageStartingWith("cannot be read");
         Files.writeString(file, "{");
         assertThatThrownBy(() -> ProxyConfig.read(file))
-                .isInstanceOf(ProxyConfig.InvalidConfigException.class)
+                .isInstanceOf(InvalidConfigException.class)
                 .hasMessageStartingWith("not JSON");
     }
 }
--- a/src/test/java/gaugegw/proxy/lifecycle/SignalHandlersTest.java
+++ b/src/test/java/gaugegw/proxy/lifecycle/SignalHandlersTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gaugegw.proxy.config.ProxyConfig;
+import gaugegw.proxy.config.SocketAddresses;
 import gaugegw.proxy.testing.ProxyFixture;
 import gaugegw.proxy.testing.ProxyProcess;
 import gaugegw.proxy.testing.RawConnection;
@@ -56,7 +56,8 @@
                 process.signal("HUP");
                 assertThat(second.accept().read().first()).isEqualTo(FIRST_CALL);
                 // The first connection of all: nobody came before.
-                try (var own = RawConnection.to(ProxyConfig.address(neverAsked.address()))) {
+                try (var own = RawConnection.to(
+                        SocketAddresses.parse(neverAsked.address()).orElseThrow())) {
                     own.send("own\r\n\r\n");
                     assertThat(neverAsked.accept().read().first()).isEqualTo("own");
                 }
