--- a/src/main/java/gaugegw/proxy/config/ProxyConfig.java
+++ b/src/main/java/gaugegw/proxy/config/ProxyConfig.java
@@ -14,23 +14,23 @@
  * What a proxy is configured with at its start. Immutable, as long as nobody changes {@code cachedEndpoints}.
  *
  * @param name the proxy's name, the same after a restart
- * @param listen the address to accept clients at
- * @param discovery the address of discovery
- * @param sockets the number of file descriptors that the process may hold
+ * @param listenAddress the address to accept clients at
+ * @param discoveryAddress the address of discovery
+ * @param descriptorLimit the number of file descriptors that the process may hold
  * @param cachedEndpoints the endpoint list as this proxy last had it, in discovery's form; a {@link MissingNode} where
  *     there is none
  * @param settings what the load balancer is to keep to
- * @param connIdleUs a backend closes a connection that has been idle for this time, in microseconds
+ * @param upstreamIdleTimeoutUs a backend closes a connection that has been idle for this time, in microseconds
  * @param connectTimeoutUs time after which a connect to a backend has failed, in microseconds
  */
 public record ProxyConfig(
         String name,
-        InetSocketAddress listen,
-        InetSocketAddress discovery,
-        int sockets,
+        InetSocketAddress listenAddress,
+        InetSocketAddress discoveryAddress,
+        int descriptorLimit,
         JsonNode cachedEndpoints,
         BalancerSettings settings,
-        long connIdleUs,
+        long upstreamIdleTimeoutUs,
         long connectTimeoutUs) {
 
     /**
@@ -68,6 +68,13 @@
     /** Returns the same configuration with another address to accept clients at. */
     public ProxyConfig listeningAt(InetSocketAddress address) {
         return new ProxyConfig(
-                name, address, discovery, sockets, cachedEndpoints, settings, connIdleUs, connectTimeoutUs);
+                name,
+                address,
+                discoveryAddress,
+                descriptorLimit,
+                cachedEndpoints,
+                settings,
+                upstreamIdleTimeoutUs,
+                connectTimeoutUs);
     }
 }
--- a/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
@@ -55,10 +55,11 @@
         loop = transport.loop();
         var clock = new Clock();
         var settings = config.settings();
-        var limiter = new ConnectionLimiter(loop, config.sockets());
-        var upstreams = new UpstreamClient(clock, transport, limiter, config.connIdleUs(), config.connectTimeoutUs());
+        var limiter = new ConnectionLimiter(loop, config.descriptorLimit());
+        var upstreams = new UpstreamClient(
+                clock, transport, limiter, config.upstreamIdleTimeoutUs(), config.connectTimeoutUs());
         dispatcher = new RequestDispatcher(clock, loop, log, settings, loadBalancer, upstreams);
-        endpointWatcher = new EndpointWatcher(transport, log, dispatcher, config.discovery(), settings);
+        endpointWatcher = new EndpointWatcher(transport, log, dispatcher, config.discoveryAddress(), settings);
         dispatcher.discovery(endpointWatcher);
         frontend = new Frontend(
                 clock,
@@ -83,7 +84,7 @@
             return Optional.empty();
         }
         if (!bound.isSuccess()) {
-            throw InvalidConfigException.cannotListen(config.listen().toString(), bound.cause());
+            throw InvalidConfigException.cannotListen(config.listenAddress().toString(), bound.cause());
         }
         var address = (InetSocketAddress) bound.channel().localAddress();
         report("listening on " + address.getPort()
@@ -98,7 +99,7 @@
             // A pushed update binds a proxy from its first request on, so no client may be accepted before its arrival.
             endpointWatcher.firstCallEnded().awaitUninterruptibly();
         }
-        return frontend.listen(transport, config.listen());
+        return frontend.listen(transport, config.listenAddress());
     }
 
     /**
@@ -115,7 +116,7 @@
 
     /** Takes over the address of discovery; all else holds until the next start. */
     void applyConfig(ProxyConfig changed) {
-        InetSocketAddress address = changed.discovery();
+        InetSocketAddress address = changed.discoveryAddress();
         loop.execute(() -> {
             log.line(config.name() + ": configuration reloaded, discovery address " + address);
             endpointWatcher.moveTo(address);
@@ -138,12 +139,12 @@
     }
 
     /** Returns the number of requests that wait for a response or have attempts in flight. */
-    public int held() {
+    public int openRequests() {
         return dispatcher.openRequests();
     }
 
     /** Returns the number of connected clients. */
-    public int connected() {
+    public int connectedClients() {
         return frontend.connected();
     }
 
--- a/src/main/java/gaugegw/proxy/lifecycle/Warmup.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/Warmup.java
@@ -33,10 +33,10 @@
                 "warm-up",
                 address(PROXY_PORT),
                 address(DISCOVERY_PORT),
-                template.sockets(),
+                template.descriptorLimit(),
                 endpoints,
                 template.settings(),
-                template.connIdleUs(),
+                template.upstreamIdleTimeoutUs(),
                 template.connectTimeoutUs());
     }
 
--- a/src/test/java/gaugegw/proxy/config/ConfigFileWatcherTest.java
+++ b/src/test/java/gaugegw/proxy/config/ConfigFileWatcherTest.java
@@ -31,7 +31,7 @@
         watcher = new ConfigFileWatcher(file, ProxyConfig.read(file), new ConfigFileWatcher.Listener() {
             @Override
             public void configChanged(ProxyConfig config) {
-                taken.add("127.0.0.1:" + config.discovery().getPort());
+                taken.add("127.0.0.1:" + config.discoveryAddress().getPort());
             }
 
             @Override
--- a/src/test/java/gaugegw/proxy/testing/ProxyFixture.java
+++ b/src/test/java/gaugegw/proxy/testing/ProxyFixture.java
@@ -221,12 +221,12 @@
 
     /** Returns the number of requests that want an answer or have attempts out. */
     public int held() {
-        return serve.held();
+        return serve.openRequests();
     }
 
     /** Returns the number of clients' connections. */
     public int connected() {
-        return serve.connected();
+        return serve.connectedClients();
     }
 
     public void drain() {
