--- a/src/main/java/gaugegw/proxy/dispatch/RequestDispatcher.java
+++ b/src/main/java/gaugegw/proxy/dispatch/RequestDispatcher.java
@@ -59,7 +59,7 @@
     private final Map<String, DispatchedRequest> requests = new HashMap<>();
     private final Queue<Event> events = new ArrayDeque<>();
     private final List<Action> actions = new ArrayList<>();
-    private EndpointWatcher discovery;
+    private EndpointWatcher endpointWatcher;
     private boolean handling;
     private boolean terminating;
 
@@ -78,8 +78,8 @@
         this.backends = backends;
     }
 
-    public void discovery(EndpointWatcher calls) {
-        discovery = calls;
+    public void setEndpointWatcher(EndpointWatcher watcher) {
+        endpointWatcher = watcher;
     }
 
     /** Returns the number of requests that still want an answer or have attempts out. */
@@ -268,9 +268,9 @@
         } else if (action instanceof Action.CloseIdleConnections a) {
             backends.closeIdleConnections(a.endpointId());
         } else if (action instanceof Action.WatchEndpoints a) {
-            discovery.watch(a.enabled());
+            endpointWatcher.watch(a.enabled());
         } else if (action instanceof Action.FetchEndpoints) {
-            discovery.fetch();
+            endpointWatcher.fetch();
         } else if (action instanceof Action.LogMessage a) {
             log.line(a.text());
         } else {
--- a/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
@@ -62,7 +62,7 @@
         var backends = new UpstreamClient(clock, transport, limiter, config.connIdleUs(), config.connectTimeoutUs());
         proxy = new RequestDispatcher(clock, loop, log, settings, module, backends);
         discovery = new EndpointWatcher(transport, log, proxy, config.discovery(), settings);
-        proxy.discovery(discovery);
+        proxy.setEndpointWatcher(discovery);
         frontend = new Frontend(
                 clock,
                 log,
