--- /dev/null
+++ b/src/main/java/gaugegw/proxy/dispatch/ActionExecutor.java
@@ -0,0 +1,79 @@
+package gaugegw.proxy.dispatch;
+
+import gaugegw.balancer.api.Action;
+import gaugegw.balancer.api.Event;
+import gaugegw.proxy.discovery.EndpointWatcher;
+import gaugegw.proxy.logging.RateLimitedLog;
+import gaugegw.proxy.transport.Clock;
+import gaugegw.proxy.upstream.UpstreamClient;
+import io.netty.channel.EventLoop;
+import java.util.concurrent.TimeUnit;
+
+/** Executes the load balancer's actions: the one place where an {@link Action} is told by its type. Event loop only. */
+final class ActionExecutor {
+    private final Clock clock;
+    private final EventLoop loop;
+    private final RateLimitedLog log;
+    private final EventQueue events;
+    private final RequestTable requests;
+    private final AttemptStarter attempts;
+    private final UpstreamClient upstream;
+    private EndpointWatcher endpointWatcher;
+
+    ActionExecutor(
+            Clock clock,
+            EventLoop loop,
+            RateLimitedLog log,
+            EventQueue events,
+            RequestTable requests,
+            AttemptStarter attempts,
+            UpstreamClient upstream) {
+        this.clock = clock;
+        this.loop = loop;
+        this.log = log;
+        this.events = events;
+        this.requests = requests;
+        this.attempts = attempts;
+        this.upstream = upstream;
+    }
+
+    void setEndpointWatcher(EndpointWatcher watcher) {
+        endpointWatcher = watcher;
+    }
+
+    /**
+     * Executes one action. One that concerns a request or an attempt which is no longer there does nothing.
+     *
+     * @throws UnsupportedOperationException for a health check: the proxy sends none
+     */
+    void execute(Action action) {
+        if (action instanceof Action.StartAttempt start) {
+            attempts.start(start);
+        } else if (action instanceof Action.SetTimer timer) {
+            setTimer(timer);
+        } else if (action instanceof Action.Reject reject) {
+            requests.answerIfOpen(reject.requestId(), sink -> sink.rejected(reject.retryAfterUs()));
+        } else if (action instanceof Action.Fail fail) {
+            requests.answerIfOpen(fail.requestId(), ResponseSink::failed);
+        } else if (action instanceof Action.CancelAttempt cancel) {
+            attempts.cancel(cancel);
+        } else if (action instanceof Action.CloseIdleConnections close) {
+            upstream.closeIdleConnections(close.endpointId());
+        } else if (action instanceof Action.WatchEndpoints watch) {
+            endpointWatcher.watch(watch.enabled());
+        } else if (action instanceof Action.FetchEndpoints) {
+            endpointWatcher.fetch();
+        } else if (action instanceof Action.LogMessage message) {
+            log.line(message.text());
+        } else {
+            // CheckHealth: the settings of a real proxy do not allow health checks, and the load balancer sends none
+            // then.
+            throw new UnsupportedOperationException("the proxy has no such action");
+        }
+    }
+
+    private void setTimer(Action.SetTimer timer) {
+        long delayUs = Math.max(0, timer.atUs() - clock.now());
+        loop.schedule(() -> events.deliver(new Event.TimerFired(timer.token())), delayUs, TimeUnit.MICROSECONDS);
+    }
+}
