--- a/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
@@ -60,7 +60,7 @@
                 clock, transport, limiter, config.upstreamIdleTimeoutUs(), config.connectTimeoutUs());
         dispatcher = new RequestDispatcher(clock, loop, log, settings, loadBalancer, upstreams);
         endpointWatcher = new EndpointWatcher(transport, log, dispatcher, config.discoveryAddress(), settings);
-        dispatcher.discovery(endpointWatcher);
+        dispatcher.setEndpointWatcher(endpointWatcher);
         frontend = new Frontend(
                 clock,
                 log,
