--- a/src/main/java/gaugegw/proxy/dispatch/RequestDispatcher.java
+++ b/src/main/java/gaugegw/proxy/dispatch/RequestDispatcher.java
@@ -11,8 +11,8 @@
 import gaugegw.proxy.discovery.ListedEndpoint;
 import gaugegw.proxy.logging.RateLimitedLog;
 import gaugegw.proxy.transport.Clock;
+import gaugegw.proxy.upstream.UpstreamAttempt;
 import gaugegw.proxy.upstream.UpstreamClient;
-import gaugegw.proxy.upstream.UpstreamClient.UpstreamAttempt;
 import io.netty.channel.EventLoop;
 import java.util.List;
 
@@ -136,7 +136,7 @@
     private void abandon(DispatchedRequest request) {
         events.deliver(new Event.ClientDisconnected(request.id()));
         for (UpstreamAttempt attempt : request.attempts()) {
-            if (!attempt.written()) {
+            if (!attempt.isWritten()) {
                 attempt.abort(AttemptOutcome.NOT_SENT);
             }
         }
