--- a/src/test/java/gaugegw/proxy/config/ProxyConfigTest.java
+++ b/src/test/java/gaugegw/proxy/config/ProxyConfigTest.java
@@ -26,7 +26,7 @@
                 .extracting(RequestClass::idempotency)
                 .containsExactly(Idempotency.IDEMPOTENT, Idempotency.IDEMPOTENT_WITH_KEY, Idempotency.NOT_IDEMPOTENT);
         assertThat(config.settings().tenants()).containsExactly(new Tenant("acme", 100));
-        assertThat(config.connIdleUs()).isEqualTo(15_000_000);
+        assertThat(config.upstreamIdleTimeoutUs()).isEqualTo(15_000_000);
         assertThat(config.cachedEndpoints().path("version").asLong()).isEqualTo(41);
     }
 
@@ -53,7 +53,7 @@
             })
     void namesTheFieldThatIsWrong(String field, String value, String message) throws Exception {
         assertThatThrownBy(() -> ProxyConfig.parse(ProxyFixture.config().put(field, value)))
-                .isInstanceOf(ProxyConfig.InvalidConfigException.class)
+                .isInstanceOf(InvalidConfigException.class)
                 .hasMessage(message);
     }
 
@@ -73,11 +73,11 @@
     void saysWhereAFileIsNoConfiguration(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("config.json");
         assertThatThrownBy(() -> ProxyConfig.read(file))
-                .isInstanceOf(ProxyConfig.InvalidConfigException.class)
+                .isInstanceOf(InvalidConfigException.class)
                 .hasMessageStartingWith("cannot be read");
         Files.writeString(file, "{");
         assertThatThrownBy(() -> ProxyConfig.read(file))
-                .isInstanceOf(ProxyConfig.InvalidConfigException.class)
+                .isInstanceOf(InvalidConfigException.class)
                 .hasMessageStartingWith("not JSON");
     }
 }
--- a/src/test/java/gaugegw/proxy/testing/ProxyFixture.java
+++ b/src/test/java/gaugegw/proxy/testing/ProxyFixture.java
@@ -222,12 +222,12 @@
 
     /** Returns the number of requests that await a response or have attempts in flight. */
     public int held() {
-        return serve.held();
+        return serve.openRequests();
     }
 
     /** Returns the number of clients' connections. */
     public int connected() {
-        return serve.connected();
+        return serve.connectedClients();
     }
 
     public void drain() {
