--- a/src/main/java/gaugegw/proxy/client/Frontend.java
+++ b/src/main/java/gaugegw/proxy/client/Frontend.java
@@ -77,7 +77,7 @@
     }
 
     /** From now on readiness checks fail, so that clients choose another proxy; those that come are served. */
-    public void leave() {
+    public void reportNotReady() {
         context.drainState().reportNotReady();
     }
 
@@ -89,17 +89,17 @@
     }
 
     /** From now on each response is the last one of its connection, so that clients choose another proxy. */
-    public void closeAfterAnswers() {
+    public void closeAfterResponses() {
         context.drainState().closeAfterResponses();
     }
 
     /** Closes the connections without a request. */
-    public void closeIdle() {
+    public void closeIdleConnections() {
         context.connections().closeIdle();
     }
 
     /** Returns the number of connections on which a client may send, wait for a response or read one. */
-    public int connected() {
+    public int connectedClients() {
         return context.connections().activeCount();
     }
 }
--- a/src/main/java/gaugegw/proxy/dispatch/RequestDispatcher.java
+++ b/src/main/java/gaugegw/proxy/dispatch/RequestDispatcher.java
@@ -118,7 +118,7 @@
     @Override
     public void endpointsUpdated(UpdateKind kind, List<ListedEndpoint> listed) {
         assert loop.inEventLoop();
-        List<UpstreamAttempt> unsent = kind == UpdateKind.POLL_FAILED ? List.of() : upstream.update(kind, listed);
+        List<UpstreamAttempt> unsent = kind == UpdateKind.POLL_FAILED ? List.of() : upstream.applyUpdate(kind, listed);
         events.deliver(new Event.EndpointUpdate(
                 kind, listed.stream().map(ListedEndpoint::endpoint).toList()));
         // Only now: the load balancer knows the list by the time it retries them, and chooses other endpoints.
--- a/src/main/java/gaugegw/proxy/lifecycle/GracefulShutdown.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/GracefulShutdown.java
@@ -54,8 +54,8 @@
         DrainSchedule schedule = DrainSchedule.of(config.settings());
         loop.execute(this::announce);
         after(schedule.stopAcceptingMs(), this::stopAccepting);
-        after(schedule.closeAfterResponsesMs(), frontend::closeAfterAnswers);
-        after(schedule.closeIdleMs(), frontend::closeIdle);
+        after(schedule.closeAfterResponsesMs(), frontend::closeAfterResponses);
+        after(schedule.closeIdleMs(), frontend::closeIdleConnections);
         after(schedule.failRemainingMs(), dispatcher::failAll);
         awaitDisconnects(schedule.exitMs());
     }
@@ -72,7 +72,7 @@
     private void announce() {
         assert loop.inEventLoop();
         log.line(config.name() + ": draining");
-        frontend.leave();
+        frontend.reportNotReady();
     }
 
     private void stopAccepting() {
@@ -84,7 +84,7 @@
 
     private void checkDisconnected() {
         assert loop.inEventLoop();
-        if (frontend.connected() == 0) {
+        if (frontend.connectedClients() == 0) {
             clientsDisconnected.countDown();
         }
     }
--- a/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
@@ -67,7 +67,7 @@
                 dispatcher,
                 limiter,
                 settings,
-                () -> endpointWatcher.firstCallEnded().isDone() && upstreams.anyReady());
+                () -> endpointWatcher.firstCallEnded().isDone() && upstreams.hasReadyEndpoint());
         shutdown = new GracefulShutdown(loop, log, config, frontend, dispatcher);
     }
 
@@ -145,7 +145,7 @@
 
     /** Returns the number of connected clients. */
     public int connectedClients() {
-        return frontend.connected();
+        return frontend.connectedClients();
     }
 
     /** Ends the event loop, and with it all connections; returns when it has ended. */
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
@@ -45,7 +45,7 @@
     }
 
     /** Returns whether at least one endpoint takes new attempts. */
-    public boolean anyReady() {
+    public boolean hasReadyEndpoint() {
         return endpoints.values().stream().anyMatch(UpstreamEndpoint::isReady);
     }
 
@@ -55,7 +55,7 @@
      * @return the attempts of such endpoints whose request has not been written completely. The caller aborts them: no
      *     attempt may begin on a draining endpoint later than the grace period
      */
-    public List<UpstreamAttempt> update(UpdateKind kind, List<ListedEndpoint> listed) {
+    public List<UpstreamAttempt> applyUpdate(UpdateKind kind, List<ListedEndpoint> listed) {
         assert context.loop().inEventLoop();
         var unwritten = new ArrayList<UpstreamAttempt>();
         for (ListedEndpoint entry : listed) {
