--- a/src/main/java/gaugegw/proxy/client/ClientConnection.java
+++ b/src/main/java/gaugegw/proxy/client/ClientConnection.java
@@ -112,6 +112,7 @@
      * noticed. One read takes a limited number of bytes; a close behind more than that stays unnoticed.
      */
     void poll() {
+        assert channel.eventLoop().inEventLoop();
         if (channel.isActive() && context.clock().now() - lastReadAtUs >= RECENT_READ_US) {
             Transport.readNow(channel);
         }
@@ -160,6 +161,7 @@
 
     /** Writes the response to the current exchange and begins the next exchange, or closes the connection. */
     void finishExchange(FullHttpResponse response, boolean keepAlive) {
+        assert channel.eventLoop().inEventLoop();
         ChannelFuture written = channel.writeAndFlush(response);
         hasResponded = true;
         idleSinceUs = context.clock().now();
--- a/src/main/java/gaugegw/proxy/client/RequestAggregator.java
+++ b/src/main/java/gaugegw/proxy/client/RequestAggregator.java
@@ -52,7 +52,7 @@
         return null;
     }
 
-    /** Netty takes any body with a coding for chunked: one in another coding would end elsewhere than it reads. */
+    /** Netty only looks for {@code chunked} among the codings, and would misread where a body in any other one ends. */
     private static boolean hasUnsupportedCoding(HttpRequest head) {
         List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         boolean onlyChunked = codings.size() == 1
--- a/src/test/java/gaugegw/proxy/testing/FullBacklog.java
+++ b/src/test/java/gaugegw/proxy/testing/FullBacklog.java
@@ -28,6 +28,7 @@
         }
     }
 
+    /** Returns the address as an endpoint list has it. */
     public String address() {
         return "127.0.0.1:" + server.getLocalPort();
     }
--- a/src/test/java/gaugegw/proxy/testing/ProxyFixture.java
+++ b/src/test/java/gaugegw/proxy/testing/ProxyFixture.java
@@ -43,10 +43,15 @@
               "projects":[{"name":"acme","allowance_per_s":100}]}}
             """;
 
+    /** The events that the decision module was given, in order; {@link #next} removes them. */
     public final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
+    /** The attempts that the decision module asked to start, in order. */
     public final BlockingQueue<Action.StartAttempt> sends = new LinkedBlockingQueue<>();
+    /** The discovery server, which the test plays. */
     public final ScriptedServer discovery = new ScriptedServer();
+
     private final ProxyServer serve;
+    /** Where the proxy listens for clients. */
     public final InetSocketAddress address;
 
     /** Raises all time limits of the settings to a minute, so that nothing expires while a test waits. */
@@ -59,10 +64,17 @@
         void handle(Event event, Consumer<Action> actions);
     }
 
+    /** A proxy with the endpoints {@code s0}, {@code s1} and so on, one for each backend. */
     public ProxyFixture(Module module, ScriptedServer... backends) throws Exception {
         this(module, 1_024, 15_000_000, backends);
     }
 
+    /**
+     * A proxy with other limits.
+     *
+     * @param sockets the limit of descriptors in the configuration
+     * @param idleUs the time after which a backend may close an idle connection, in microseconds
+     */
     public ProxyFixture(Module module, int sockets, long idleUs, ScriptedServer... backends) throws Exception {
         this(settings -> (now, event, actions) -> module.handle(event, actions), sockets, idleUs, c -> c, backends);
     }
@@ -113,14 +125,17 @@
         address = serve.start().orElseThrow();
     }
 
+    /** Parses JSON. */
     public static JsonNode json(String text) throws IOException {
         return JsonTrees.read(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)));
     }
 
+    /** Returns a valid configuration without endpoints, to be edited. */
     public static ObjectNode config() throws IOException {
         return (ObjectNode) json(config("127.0.0.1:1"));
     }
 
+    /** Returns a valid configuration without endpoints, with a given address of discovery. */
     public static String config(String discovery) {
         return CONFIG.formatted(discovery, 1_024, "", 15_000_000);
     }
@@ -136,11 +151,13 @@
         }
     }
 
+    /** Formats an entry of an endpoint list. */
     public static String entry(String id, String address, String state) {
         return "{\"id\":\"%s\",\"addr\":\"%s\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":1,\"state\":\"%s\",\"weight\":1.0,\"started_ms\":7}"
                 .formatted(id, address, state);
     }
 
+    /** Formats a response of discovery: a complete list or changed entries. */
     public static String list(long version, boolean full, String... entries) {
         return "{\"version\":%d,\"full\":%b,\"servers\":[%s]}".formatted(version, full, String.join(",", entries));
     }
@@ -150,6 +167,7 @@
         return sendTo(backend, 0);
     }
 
+    /** As {@link #sendTo(String)}, with a timeout for the attempts in microseconds; 0: the request's deadline. */
     public static Module sendTo(String backend, long timeoutUs) {
         return (event, actions) -> {
             if (event instanceof Event.RequestArrived a) {
@@ -193,12 +211,14 @@
         return get(id).replace("1900m", "60000m");
     }
 
+    /** A request that is idempotent with an idempotency key. */
     public static String post(String id, String body) {
         return "POST /api?k=u%201&x HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: " + id
                 + "\r\nX-Priority-Class: pay\r\nX-Tenant-Id: acme\r\nX-Timeout: 1900m\r\nIdempotency-Key: 5c0f"
                 + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
+    /** Connects a client. */
     public RawConnection client() throws IOException {
         return RawConnection.to(address);
     }
@@ -230,6 +250,7 @@
         return serve.connectedClients();
     }
 
+    /** Runs a graceful shutdown; returns at its end. */
     public void drain() {
         serve.drain();
     }
--- a/src/test/java/gaugegw/proxy/testing/RawConnection.java
+++ b/src/test/java/gaugegw/proxy/testing/RawConnection.java
@@ -27,14 +27,17 @@
         in = new BufferedInputStream(socket.getInputStream());
     }
 
+    /** Connects to an address. */
     public static RawConnection to(InetSocketAddress address) throws IOException {
         return to(address.getPort());
     }
 
+    /** Connects to a port of the loopback address. */
     public static RawConnection to(int port) throws IOException {
         return new RawConnection(new Socket(InetAddress.getLoopbackAddress(), port));
     }
 
+    /** Writes a text, one byte a character. */
     public RawConnection send(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         return this;
@@ -114,10 +117,12 @@
 
     /** An HTTP message: its first line, its headers, each line preceded by a line feed, and its body. */
     public record Message(String first, String headers, String body) {
+        /** Returns the status code of a response. */
         public int status() {
             return Integer.parseInt(first.split(" ", -1)[1]);
         }
 
+        /** Returns the value of a header, whatever the case of its name; null if there is none. */
         public String header(String name) {
             return Arrays.stream(headers.split("\n"))
                     .filter(l -> l.regionMatches(true, 0, name + ":", 0, name.length() + 1))
--- a/src/test/java/gaugegw/proxy/testing/ScriptedServer.java
+++ b/src/test/java/gaugegw/proxy/testing/ScriptedServer.java
@@ -25,10 +25,12 @@
         server.setSoTimeout(10_000);
     }
 
+    /** Returns the address as an endpoint list has it. */
     public String address() {
         return "127.0.0.1:" + server.getLocalPort();
     }
 
+    /** Waits for a connection and accepts it; it is closed with the server. */
     public RawConnection accept() throws IOException {
         var connection = new RawConnection(server.accept());
         synchronized (open) {
