--- a/src/main/java/gaugegw/balancer/EndpointHealth.java
+++ b/src/main/java/gaugegw/balancer/EndpointHealth.java
@@ -1,46 +1,33 @@
 package gaugegw.balancer;
 
 import gaugegw.balancer.api.AttemptOutcome;
+import java.util.stream.Stream;
 
-/**
- * The passive health of one endpoint: a tracker for the endpoint as a whole and one for each flow, the requests of one
- * class and tenant. Guards against endpoints that hang, that cannot be reached, or that fail some requests only.
- */
+/** Guards against endpoints that hang, that cannot be reached, or that fail the requests of some flows only. */
 final class EndpointHealth {
-    private final HealthTracker whole;
+    /** Above this share of all attempts, an isolated error tells nothing of an endpoint. */
+    private static final double COMMON_ERROR_SHARE = 0.015;
+
+    private final ControlPeriods periods;
+    private final HealthTracker whole = new HealthTracker();
     private final HealthTracker[] byFlow;
-    private final long minSilenceUs;
 
-    /**
-     * Starts healthy.
-     *
-     * @param flowCount number of flows, see {@link RequestFlows}
-     */
     EndpointHealth(int flowCount, ControlPeriods periods) {
-        this.whole = new HealthTracker(periods.refreshUs());
-        this.byFlow = new HealthTracker[flowCount];
-        for (int flow = 0; flow < flowCount; flow++) {
-            byFlow[flow] = new HealthTracker(periods.refreshUs());
-        }
-        this.minSilenceUs = 2 * periods.latencyBudgetUs();
+        this.periods = periods;
+        this.byFlow = Stream.generate(HealthTracker::new).limit(flowCount).toArray(HealthTracker[]::new);
     }
 
-    /** Returns the attempts of all flows in flight at the endpoint. */
     int attemptsInFlight() {
         return whole.inFlight();
     }
 
-    /**
-     * Returns whether the endpoint is healthy for a flow.
-     *
-     * @param kindMeanUs mean latency of the endpoint's kind, in microseconds: silence shorter than that is no fault
-     */
+    /** Returns whether a flow's attempt may begin. A silence no longer than the mean latency of the kind is no fault. */
     boolean isHealthy(int flow, double kindMeanUs, long nowUs) {
-        long maxSilenceUs = (long) Math.max(minSilenceUs, kindMeanUs);
+        long maxSilenceUs = (long) Math.max(2 * periods.latencyBudgetUs(), kindMeanUs);
         return whole.mayReceive(nowUs, maxSilenceUs) && byFlow[flow].mayReceive(nowUs, maxSilenceUs);
     }
 
-    /** Returns whether a failure of the endpoint, or of this flow there, is so recent that it is in backoff. */
+    /** Returns whether the endpoint is in backoff after a failure, for all flows or for this one. */
     boolean isBackingOff(int flow, long nowUs) {
         return whole.isBackingOff(nowUs) || byFlow[flow].isBackingOff(nowUs);
     }
@@ -56,16 +43,13 @@
         byFlow[flow].attemptEnded(nowUs, heard);
     }
 
-    /**
-     * Takes an outcome that tells something about the endpoint. An endpoint that cannot be reached fails for all
-     * flows; any other failure concerns the flow alone.
-     *
-     * @param errorsAreCommon whether errors are common at all endpoints, see {@link ErrorRateTracker}
-     */
-    void recordOutcome(int flow, AttemptOutcome outcome, boolean errorsAreCommon, long nowUs) {
+    /** Takes an outcome: what cannot be reached fails for all flows, any other failure concerns its flow alone. */
+    void recordOutcome(int flow, AttemptOutcome outcome, double errorShare, long nowUs) {
         boolean unreachable = outcome == AttemptOutcome.CONNECT_FAILED;
-        whole.recordResult(!unreachable, unreachable, errorsAreCommon, nowUs);
         boolean success = outcome == AttemptOutcome.SUCCESS;
-        byFlow[flow].recordResult(success, ErrorRateTracker.isError(outcome), errorsAreCommon, nowUs);
+        boolean error = OutcomeRates.isError(outcome);
+        boolean errorsAreCommon = errorShare > COMMON_ERROR_SHARE;
+        whole.recordResult(!unreachable, unreachable, errorsAreCommon, nowUs, periods.refreshUs());
+        byFlow[flow].recordResult(success, error, errorsAreCommon, nowUs, periods.refreshUs());
     }
 }
--- /dev/null
+++ b/src/main/java/gaugegw/balancer/EndpointWeights.java
@@ -0,0 +1,51 @@
+package gaugegw.balancer;
+
+import java.util.List;
+
+/** The weights w = c / sum of c, with c = 1 / expected latency. With each refresh the deadline order starts afresh. */
+final class EndpointWeights {
+    /** No endpoint's c is less than this part of the largest. */
+    private static final double FLOOR = 0.05;
+
+    private final EndpointMembership membership;
+    private final long periodUs;
+    private long dueAtUs = Long.MIN_VALUE;
+
+    EndpointWeights(EndpointMembership membership, ControlPeriods periods) {
+        this.membership = membership;
+        this.periodUs = periods.refreshUs();
+    }
+
+    void refreshIfDue(long nowUs) {
+        if (nowUs >= dueAtUs) {
+            refresh(nowUs);
+        }
+    }
+
+    void refresh(long nowUs) {
+        dueAtUs = nowUs + periodUs;
+        List<EndpointRecord> endpoints = membership.ready();
+        double scale = listWeightScale(endpoints);
+        endpoints.forEach(
+                e -> e.weight = e.latency.kind.samples() > 0 ? 1 / e.latency.expectedUs() : e.listed.weight() * scale);
+        double floor =
+                FLOOR * endpoints.stream().mapToDouble(e -> e.weight).max().orElse(1);
+        double sum =
+                endpoints.stream().mapToDouble(e -> Math.max(e.weight, floor)).sum();
+        for (EndpointRecord endpoint : endpoints) {
+            endpoint.weight = Math.max(endpoint.weight, floor) / sum;
+            endpoint.virtualTime = 0;
+            endpoint.latency.decayOwnSamples();
+        }
+        membership.sort();
+    }
+
+    /** A kind without samples goes by its list weight; returns that weight's unit, by the kinds that have some. */
+    private static double listWeightScale(List<EndpointRecord> endpoints) {
+        return endpoints.stream()
+                .filter(e -> e.latency.kind.samples() > 0)
+                .mapToDouble(e -> 1 / (e.latency.kind.meanUs() * e.listed.weight()))
+                .average()
+                .orElse(1);
+    }
+}
--- a/src/main/java/gaugegw/balancer/LatencyAverage.java
+++ b/src/main/java/gaugegw/balancer/LatencyAverage.java
@@ -1,30 +1,24 @@
 package gaugegw.balancer;
 
-/** A decaying average of latencies: the mean of the samples until its memory is full, then an exponential average. */
+/** A decaying average of latencies: the mean until its memory is full, then an exponential average. */
 final class LatencyAverage {
-    /** Samples that the average remembers: long, so that the weights derived from it drift slowly. */
+    /** Samples remembered: so many that the weights derived from the average drift slowly. */
     static final int MEMORY_SAMPLES = 1024;
 
     private double meanUs;
     private int samples;
 
-    /** Adds one sample, in microseconds. */
     void record(double latencyUs) {
         samples = Math.min(samples + 1, MEMORY_SAMPLES);
         meanUs += (latencyUs - meanUs) / samples;
     }
 
-    /** Returns the average in microseconds; 0 without samples. */
+    /** Returns the average in microseconds, 0 without samples. */
     double meanUs() {
         return meanUs;
     }
 
-    /** Returns the number of samples in the average, at most {@link #MEMORY_SAMPLES}. */
     int samples() {
         return samples;
     }
-
-    boolean hasSamples() {
-        return samples > 0;
-    }
 }
--- /dev/null
+++ b/src/main/java/gaugegw/balancer/LoadMeasurement.java
@@ -0,0 +1,73 @@
+package gaugegw.balancer;
+
+/**
+ * The rate and latency of successful answers and, sampled once in a refresh period, the unloaded latency and throughput
+ * of an endpoint. The period is not that of the weights, which starts afresh at each change of the endpoint list:
+ * during a rolling restart nothing would be sampled.
+ */
+final class LoadMeasurement {
+    /** Below so many answers, their mean latency is not relied upon. */
+    private static final int MIN_RELIABLE_ANSWERS = LatencyAverage.MEMORY_SAMPLES / 32;
+    /** Weight of a new sample of the throughput, once the average has had a few. */
+    private static final double SAMPLE_WEIGHT = 1 - 0.8;
+
+    private final long periodUs;
+    private final LatencyAverage latency = new LatencyAverage();
+    private double answersPerUs;
+    private long answeredAtUs;
+    private long sampleDueAtUs;
+    private int samples;
+    private double unloadedLatencyUs;
+    private double endpointThroughputPerUs;
+
+    LoadMeasurement(ControlPeriods periods) {
+        periodUs = periods.refreshUs();
+    }
+
+    void start(long nowUs) {
+        sampleDueAtUs = nowUs + periodUs;
+    }
+
+    void recordAnswer(long latencyUs, long nowUs) {
+        latency.record(latencyUs);
+        answersPerUs = answersPerUs(nowUs) + 1.0 / periodUs;
+        answeredAtUs = nowUs;
+    }
+
+    void sampleIfDue(int endpointCount, long nowUs) {
+        if (nowUs < sampleDueAtUs) {
+            return;
+        }
+        sampleDueAtUs = nowUs + periodUs;
+        samples++;
+        // The least of the means, as a mean under load includes time in queues.
+        double meanUs = hasReliableLatency() ? latency.meanUs() : 0;
+        unloadedLatencyUs = unloadedLatencyUs == 0 ? meanUs : Math.min(unloadedLatencyUs, meanUs);
+        // An average, as answers of endpoints that have just left the list tell nothing of those that stay.
+        double throughputPerUs = answersPerUs(nowUs) / Math.max(1, endpointCount);
+        endpointThroughputPerUs += (throughputPerUs - endpointThroughputPerUs) * Math.max(1.0 / samples, SAMPLE_WEIGHT);
+    }
+
+    boolean hasReliableLatency() {
+        return latency.samples() >= MIN_RELIABLE_ANSWERS;
+    }
+
+    double meanLatencyUs() {
+        return latency.meanUs();
+    }
+
+    /** Returns the answers of all endpoints per microsecond, an exponential average over the refresh period. */
+    double answersPerUs(long nowUs) {
+        return answersPerUs * Math.exp((answeredAtUs - nowUs) / (double) periodUs);
+    }
+
+    /** Returns the least mean latency so far, in microseconds; 0 until measured. */
+    double unloadedLatencyUs() {
+        return unloadedLatencyUs;
+    }
+
+    /** Returns the answers of one endpoint to this proxy per microsecond, in the mean over all listed. */
+    double endpointThroughputPerUs() {
+        return endpointThroughputPerUs;
+    }
+}
--- /dev/null
+++ b/src/main/java/gaugegw/balancer/OutcomeRates.java
@@ -0,0 +1,45 @@
+package gaugegw.balancer;
+
+import gaugegw.balancer.api.AttemptOutcome;
+
+/** The shares of errors and time-outs in the attempts, and of rejections in the requests: exponential averages. */
+final class OutcomeRates {
+    private static final double ATTEMPT_MEMORY = 256;
+    private static final double REQUEST_MEMORY = 16;
+
+    private double errorShare;
+    private double timeoutShare;
+    private double rejectionShare;
+
+    static boolean isError(AttemptOutcome outcome) {
+        return switch (outcome) {
+            case ERROR, CONNECT_FAILED, RESET -> true;
+            case SUCCESS, REJECTED, TIMEOUT, CANCELLED, NOT_SENT -> false;
+        };
+    }
+
+    void recordAttempt(AttemptOutcome outcome) {
+        errorShare += ((isError(outcome) ? 1 : 0) - errorShare) / ATTEMPT_MEMORY;
+        timeoutShare += ((outcome == AttemptOutcome.TIMEOUT ? 1 : 0) - timeoutShare) / ATTEMPT_MEMORY;
+    }
+
+    void recordRejection() {
+        rejectionShare += (1 - rejectionShare) / REQUEST_MEMORY;
+    }
+
+    void recordSuccess() {
+        rejectionShare -= rejectionShare / REQUEST_MEMORY;
+    }
+
+    double errorShare() {
+        return errorShare;
+    }
+
+    double timeoutShare() {
+        return timeoutShare;
+    }
+
+    double rejectionShare() {
+        return rejectionShare;
+    }
+}
--- a/src/main/java/gaugegw/balancer/PendingRequest.java
+++ b/src/main/java/gaugegw/balancer/PendingRequest.java
@@ -5,30 +5,28 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request without a final answer, or one that has its answer but still has attempts in flight. */
+/** A request without a final answer, or with attempts still in flight. Times are on the proxy's clock. */
 final class PendingRequest {
-    private final String id;
-    private final RequestClass requestClass;
-    private final int flow;
-    private final String affinityKey;
-    private final double priorityWeight;
-    private final long objectiveAtUs;
-    private final long deadlineAtUs;
-    private final List<AttemptRecord> attempts = new ArrayList<>(2);
-    private int attemptsInFlight;
-    private boolean answered;
-    private long giveUpAtUs;
-    private double lowerPriorityShare;
-    private EndpointRecord affinityEndpoint;
+    final String id;
+    final RequestClass requestClass;
+    /** See {@link RequestFlows}. */
+    final int flow;
+    /** The requests of a key belong on one endpoint; null where affinity does not apply. */
+    final String affinityKey;
+
+    final double priorityWeight;
+    final long objectiveAtUs;
+    final long deadlineAtUs;
+    final List<AttemptRecord> attempts = new ArrayList<>(2);
+    int attemptsInFlight;
+    /** Whether the client has its final answer, or has left. */
+    boolean answered;
+    /** While queued: when it is given up, the share of classes with a lower weight, and its key's endpoint or null. */
+    long giveUpAtUs;
+
+    double lowerPriorityShare;
+    EndpointRecord affinityEndpoint;
 
-    /**
-     * Creates a request without attempts.
-     *
-     * @param flow number of its flow, see {@link RequestFlows}
-     * @param affinityKey its cache key, or null where affinity does not apply
-     * @param objectiveAtUs when its latency objective passes, on the proxy's clock in microseconds
-     * @param deadlineAtUs when the client gives up, on the proxy's clock in microseconds
-     */
     PendingRequest(
             String id,
             RequestClass requestClass,
@@ -46,55 +44,17 @@
         this.deadlineAtUs = deadlineAtUs;
     }
 
-    String id() {
-        return id;
-    }
-
-    RequestClass requestClass() {
-        return requestClass;
-    }
-
-    int flow() {
-        return flow;
-    }
-
-    /** Returns the key whose requests belong on one endpoint, or null. */
-    String affinityKey() {
-        return affinityKey;
-    }
-
-    double priorityWeight() {
-        return priorityWeight;
-    }
-
-    long objectiveAtUs() {
-        return objectiveAtUs;
-    }
-
-    long deadlineAtUs() {
-        return deadlineAtUs;
-    }
-
-    /** Returns the attempts by number; owned by this request, not to be changed. */
-    List<AttemptRecord> attempts() {
-        return attempts;
-    }
-
-    boolean hasAttempts() {
-        return !attempts.isEmpty();
-    }
-
     boolean hasTried(EndpointRecord endpoint) {
         for (int i = 0; i < attempts.size(); i++) {
-            if (attempts.get(i).endpoint() == endpoint) {
+            if (attempts.get(i).endpoint == endpoint) {
                 return true;
             }
         }
         return false;
     }
 
-    boolean hasAttemptsInFlight() {
-        return attemptsInFlight > 0;
+    boolean isInFlight(int attempt) {
+        return attempt < attempts.size() && attempts.get(attempt).isInFlight();
     }
 
     void attemptStarted(AttemptRecord attempt) {
@@ -102,53 +62,8 @@
         attemptsInFlight++;
     }
 
-    /** Returns whether an attempt of this number has started and has not ended. */
-    boolean isInFlight(int attemptNumber) {
-        return attemptNumber < attempts.size() && attempts.get(attemptNumber).isInFlight();
-    }
-
     void attemptEnded(AttemptRecord attempt, AttemptOutcome outcome) {
-        attempt.end(outcome);
+        attempt.outcome = outcome;
         attemptsInFlight--;
     }
-
-    /** Returns whether the client has its final answer, or has disconnected. */
-    boolean isAnswered() {
-        return answered;
-    }
-
-    void markAnswered() {
-        answered = true;
-    }
-
-    /** Returns whether this request goes before another: by priority weight, then by the earlier latency objective. */
-    boolean outranks(PendingRequest other) {
-        return priorityWeight > other.priorityWeight
-                || (priorityWeight == other.priorityWeight && objectiveAtUs < other.objectiveAtUs);
-    }
-
-    /**
-     * Sets what holds for as long as the request is queued.
-     *
-     * @param giveUpAtUs when it is rejected if no attempt has started, on the proxy's clock in microseconds
-     * @param lowerPriorityShare share of the request classes with a lower priority weight, from 0 to 1
-     * @param affinityEndpoint the endpoint that likely has its key cached, or null
-     */
-    void queued(long giveUpAtUs, double lowerPriorityShare, EndpointRecord affinityEndpoint) {
-        this.giveUpAtUs = giveUpAtUs;
-        this.lowerPriorityShare = lowerPriorityShare;
-        this.affinityEndpoint = affinityEndpoint;
-    }
-
-    long giveUpAtUs() {
-        return giveUpAtUs;
-    }
-
-    double lowerPriorityShare() {
-        return lowerPriorityShare;
-    }
-
-    EndpointRecord affinityEndpoint() {
-        return affinityEndpoint;
-    }
 }
--- a/src/main/java/gaugegw/balancer/RequestFlows.java
+++ b/src/main/java/gaugegw/balancer/RequestFlows.java
@@ -6,51 +6,40 @@
 import java.util.List;
 import java.util.Map;
 
-/**
- * The request classes, and the numbering of flows. A flow is the requests of one class and one tenant; requests
- * without a known tenant form one more flow in each class.
- */
+/** The request classes, and the flows: the requests of one class and tenant, or of no known tenant, numbered from 0. */
 final class RequestFlows {
     private final List<RequestClass> classes;
-    private final Map<String, RequestClass> classesByName = new HashMap<>();
+    private final Map<String, RequestClass> byName = new HashMap<>();
     private final int flowsPerClass;
 
     RequestFlows(BalancerSettings settings, int tenantCount) {
-        this.classes = settings.requestClasses();
-        this.flowsPerClass = tenantCount + 1;
-        classes.forEach(requestClass -> classesByName.put(requestClass.name(), requestClass));
+        classes = settings.requestClasses();
+        classes.forEach(requestClass -> byName.put(requestClass.name(), requestClass));
+        flowsPerClass = tenantCount + 1;
     }
 
-    /**
-     * Returns the class of a name.
-     *
-     * @throws IllegalArgumentException if the settings have no such class
-     */
     RequestClass requestClass(String name) {
-        RequestClass requestClass = classesByName.get(name);
+        RequestClass requestClass = byName.get(name);
         if (requestClass == null) {
             throw new IllegalArgumentException("request of a class not in the settings: " + name);
         }
         return requestClass;
     }
 
-    /** Returns the number of a flow, from 0 and below {@link #count()}. */
     int flow(RequestClass requestClass, int tenantNumber) {
         return classes.indexOf(requestClass) * flowsPerClass + tenantNumber;
     }
 
     int count() {
-        return classesByName.size() * flowsPerClass;
+        return byName.size() * flowsPerClass;
     }
 
-    /** Returns the share of the classes whose priority weight is below a given one, from 0 to 1. */
+    /** Returns the share of the classes, from 0 to 1, with a lower priority weight. */
     double shareBelow(double priorityWeight) {
         int below = 0;
-        for (RequestClass requestClass : classesByName.values()) {
-            if (requestClass.priorityWeight() < priorityWeight) {
-                below++;
-            }
+        for (RequestClass requestClass : byName.values()) {
+            below += requestClass.priorityWeight() < priorityWeight ? 1 : 0;
         }
-        return 1.0 * below / classesByName.size();
+        return 1.0 * below / byName.size();
     }
 }
--- /dev/null
+++ b/src/main/java/gaugegw/balancer/SlowStartBudget.java
@@ -0,0 +1,51 @@
+package gaugegw.balancer;
+
+import gaugegw.balancer.api.BalancerSettings;
+import gaugegw.balancer.api.SafetyLimits;
+
+/**
+ * Limits the attempts at an endpoint that has just started. The invariant: in any overload window, all proxies together
+ * start fewer than the overload multiple times its present capacity, or it would fail before it is warm.
+ */
+record SlowStartBudget(BalancerSettings settings, EndpointMembership membership, LoadMeasurement load) {
+    /** Part of the budget that is used, as requests differ in size and the capacity is an estimate. */
+    private static final double SAFETY_MARGIN = 0.4;
+
+    boolean isWarmingUp(EndpointRecord endpoint, long nowUs) {
+        return warmUpFraction(endpoint, nowUs) < 1;
+    }
+
+    /** Returns whether this proxy may start an attempt at an endpoint now: always once it is warm. */
+    boolean mayStartAttempt(EndpointRecord endpoint, long nowUs) {
+        double warmUpFraction = warmUpFraction(endpoint, nowUs);
+        if (warmUpFraction >= 1) {
+            return true;
+        }
+        SafetyLimits limits = settings.safetyLimits();
+        double budgetPerUs = SAFETY_MARGIN * limits.overloadMultiple() * warmUpFraction * capacityPerUs(endpoint);
+        return endpoint.slowStartAllowance.available(budgetPerUs, limits.overloadWindowUs(), nowUs) >= 1;
+    }
+
+    /** Returns the part of its capacity that an endpoint is sure to have, up to 1. */
+    private double warmUpFraction(EndpointRecord endpoint, long nowUs) {
+        SafetyLimits limits = settings.safetyLimits();
+        long startedAtUs = endpoint.listed.startedAtUs();
+        if (startedAtUs <= 0 || nowUs - startedAtUs >= limits.slowStartUs()) {
+            return 1;
+        }
+        return limits.initialCapacity()
+                + (1 - limits.initialCapacity()) * Math.max(0, nowUs - startedAtUs) / limits.slowStartUs();
+    }
+
+    /** Returns an estimate of the capacity: what endpoints of its weight answer to this proxy, or one at a time. */
+    private double capacityPerUs(EndpointRecord endpoint) {
+        LatencyAverage kind = endpoint.latency.kind;
+        double requestUs = kind.samples() > 0
+                ? kind.meanUs()
+                : settings.requestClasses().get(0).latencyObjectiveUs();
+        double byThroughputPerUs = load.endpointThroughputPerUs()
+                * endpoint.weight
+                * membership.ready().size();
+        return Math.max(1 / (requestUs * settings.proxyCount()), byThroughputPerUs);
+    }
+}
