--- a/src/test/java/gaugegw/balancer/LoadBalancerDriver.java
+++ b/src/test/java/gaugegw/balancer/LoadBalancerDriver.java
@@ -1,177 +1,164 @@
 package gaugegw.balancer;
 
+import static gaugegw.balancer.testing.TestSettings.SECONDS;
+
 import gaugegw.balancer.api.Action;
 import gaugegw.balancer.api.Action.SetTimer;
 import gaugegw.balancer.api.Action.StartAttempt;
 import gaugegw.balancer.api.AttemptOutcome;
 import gaugegw.balancer.api.BalancerSettings;
-import gaugegw.balancer.api.DeduplicationScope;
 import gaugegw.balancer.api.Endpoint;
-import gaugegw.balancer.api.EndpointState;
 import gaugegw.balancer.api.Event;
 import gaugegw.balancer.api.Event.AttemptEnded;
 import gaugegw.balancer.api.Event.EndpointUpdate;
 import gaugegw.balancer.api.Event.RequestArrived;
 import gaugegw.balancer.api.Event.TimerFired;
-import gaugegw.balancer.api.Idempotency;
-import gaugegw.balancer.api.Limits;
 import gaugegw.balancer.api.RequestClass;
-import gaugegw.balancer.api.SafetyLimits;
-import gaugegw.balancer.api.Tenant;
 import gaugegw.balancer.api.UpdateKind;
+import gaugegw.balancer.testing.TestSettings;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 
-/** Stands in for the proxy round one module: it feeds the module by hand and keeps what the module asked for. */
+/**
+ * Takes the place of the proxy around one load balancer: a test feeds it events one by one and the driver records the
+ * actions. The clock moves only when a test sets {@link #nowUs} or calls {@link #advance}.
+ */
 final class LoadBalancerDriver {
-    static final long MS = 1_000;
-    static final long S = 1_000_000;
-
-    static final RequestClass READ =
-            new RequestClass("read", 600 * MS, 2 * S, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0);
-    static final RequestClass PAY = new RequestClass(
-            "pay", 400 * MS, 2 * S, 10, 0, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE, 1200 * MS);
-    static final RequestClass BOOK = new RequestClass(
-            "book", 600 * MS, 2 * S, 2, 0, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL, 12 * S);
-    static final RequestClass NOTE = new RequestClass(
-            "note", 600 * MS, 2 * S, 2, 0, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ALL, 12 * S);
-    static final RequestClass VOTE =
-            new RequestClass("vote", 600 * MS, 2 * S, 3, 0, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0);
-
-    /** No hints when to come back: a refusal then equals any other. */
-    static final Limits LIMITS = new Limits(true, false, false, false, 4, 0, 0);
-
-    static final SafetyLimits RULES = new SafetyLimits(0.4, 8 * S, 4, S, 10 * S, false);
-
-    final EarliestDeadlineLoadBalancer policy;
+    final EarliestDeadlineLoadBalancer balancer;
+
+    /** All actions so far, in the order emitted. */
     final List<Action> actions = new ArrayList<>();
-    long now = 1000 * S;
-    private final Map<String, Integer> attempts = new HashMap<>();
-    private final Set<SetTimer> fired = new HashSet<>();
-    private int nextId;
+
+    /** The clock, in microseconds. */
+    long nowUs = 1000 * SECONDS;
+
+    private final Map<String, Integer> attemptCounts = new HashMap<>();
+    private final Set<SetTimer> firedTimers = new HashSet<>();
+    private int nextRequestNumber;
 
     LoadBalancerDriver(BalancerSettings settings) {
-        policy = new EarliestDeadlineLoadBalancer(settings);
+        balancer = new EarliestDeadlineLoadBalancer(settings);
     }
 
     LoadBalancerDriver() {
-        this(settings(LIMITS, RULES));
+        this(TestSettings.settings().build());
     }
 
-    static BalancerSettings settings(Limits limits, SafetyLimits rules, Tenant... tenants) {
-        return new BalancerSettings(
-                1,
-                0,
-                "a",
-                4 * MS,
-                List.of(READ, PAY, BOOK, NOTE, VOTE),
-                List.of(tenants),
-                0.05,
-                false,
-                limits,
-                rules,
-                7);
+    /** Feeds an event and returns the actions that it caused. */
+    List<Action> handle(Event event) {
+        int before = actions.size();
+        balancer.handle(nowUs, event, action -> {
+            actions.add(action);
+            if (action instanceof StartAttempt start) {
+                attemptCounts.merge(start.requestId(), 1, Integer::sum);
+            }
+        });
+        return List.copyOf(actions.subList(before, actions.size()));
     }
 
-    static Endpoint backend(String id, String kind, String zone, int cell) {
-        return new Endpoint(id, EndpointState.READY, kind, zone, cell, 0, 1);
+    /** Feeds a complete endpoint list. */
+    List<Action> snapshot(Endpoint... endpoints) {
+        return handle(new EndpointUpdate(UpdateKind.SNAPSHOT, List.of(endpoints)));
     }
 
-    static Endpoint backend(String id) {
-        return backend(id, "std", "a", 1);
+    /** Feeds changes of the endpoint list. */
+    List<Action> delta(Endpoint... endpoints) {
+        return handle(new EndpointUpdate(UpdateKind.DELTA, List.of(endpoints)));
     }
 
-    static Endpoint started(String id, long at) {
-        return new Endpoint(id, EndpointState.READY, "std", "a", 1, at, 1);
+    /** Feeds the endpoint list that the proxy had cached before its start. */
+    List<Action> cached(Endpoint... endpoints) {
+        return handle(new EndpointUpdate(UpdateKind.CACHED, List.of(endpoints)));
     }
 
-    static Endpoint in(EndpointState state, String id) {
-        return new Endpoint(id, state, "std", "a", 1, 0, 1);
+    /** Feeds a failed call to discovery. */
+    List<Action> pollFailed() {
+        return handle(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
     }
 
-    /** Feeds an event and returns what the module asked for because of it. */
-    List<Action> feed(Event event) {
-        int before = actions.size();
-        policy.handle(now, event, action -> {
-            actions.add(action);
-            if (action instanceof StartAttempt s) {
-                attempts.merge(s.requestId(), 1, Integer::sum);
-            }
-        });
-        return List.copyOf(actions.subList(before, actions.size()));
+    /** Submits a request without a tenant, with all of its class's deadline ahead, and returns its id. */
+    String submit(RequestClass requestClass) {
+        return submit(requestClass, null);
     }
 
-    void list(Endpoint... backends) {
-        feed(new EndpointUpdate(UpdateKind.SNAPSHOT, List.of(backends)));
+    /** Submits a request of a tenant, with all of its class's deadline ahead, and returns its id. */
+    String submit(RequestClass requestClass, String tenant) {
+        String id = "r" + nextRequestNumber++;
+        handle(new RequestArrived(id, requestClass.name(), tenant, null, requestClass.deadlineUs(), false));
+        return id;
     }
 
-    /** A request arrives; returns its id. */
-    String arrive(RequestClass type) {
-        return arrive(type, null);
+    /** Ends the latest attempt of a request; a success ends the request as well. */
+    List<Action> endAttempt(String requestId, AttemptOutcome outcome, long latencyUs) {
+        return handle(new AttemptEnded(
+                requestId,
+                attemptCounts.get(requestId) - 1,
+                lastAttempt(requestId).endpointId(),
+                outcome,
+                latencyUs,
+                outcome == AttemptOutcome.SUCCESS));
     }
 
-    String arrive(RequestClass type, String tenant) {
-        String id = "r" + nextId++;
-        feed(new RequestArrived(id, type.name(), tenant, null, type.deadlineUs(), false));
-        return id;
+    /** Submits a request, lets time pass and answers it; returns the id of the endpoint that it was sent to. */
+    String serve(RequestClass requestClass, long latencyUs) {
+        String id = submit(requestClass);
+        nowUs += latencyUs;
+        endAttempt(id, AttemptOutcome.SUCCESS, latencyUs);
+        return lastAttempt(id).endpointId();
     }
 
-    /** The latest attempt of a request ends. */
-    List<Action> end(String id, AttemptOutcome outcome, long latencyUs) {
-        StartAttempt send = lastSend(id);
-        return feed(new AttemptEnded(
-                id, attempts.get(id) - 1, send.endpointId(), outcome, latencyUs, outcome == AttemptOutcome.SUCCESS));
+    List<Action> fireTimer(String token) {
+        return handle(new TimerFired(token));
     }
 
-    List<Action> timer(String token) {
-        return feed(new TimerFired(token));
+    /** Lets time pass: each timer fires when it is due, including those that are set meanwhile. */
+    void advance(long durationUs) {
+        long untilUs = nowUs + durationUs;
+        for (Optional<SetTimer> due = nextTimer(untilUs); due.isPresent(); due = nextTimer(untilUs)) {
+            SetTimer timer = due.get();
+            firedTimers.add(timer);
+            nowUs = Math.max(nowUs, timer.atUs());
+            fireTimer(timer.token());
+        }
+        nowUs = untilUs;
     }
 
-    /** Time passes: the timers asked for so far, and those asked for meanwhile, fire when they are due. */
-    void run(long forUs) {
-        long until = now + forUs;
-        while (true) {
-            var due = actions.stream()
-                    .filter(a -> a instanceof SetTimer t && t.atUs() <= until && !fired.contains(t))
-                    .map(a -> (SetTimer) a)
-                    .min(java.util.Comparator.comparingLong(SetTimer::atUs));
-            if (due.isEmpty()) {
-                now = until;
-                return;
-            }
-            fired.add(due.get());
-            now = Math.max(now, due.get().atUs());
-            timer(due.get().token());
-        }
+    private Optional<SetTimer> nextTimer(long untilUs) {
+        return actions.stream()
+                .filter(action ->
+                        action instanceof SetTimer timer && timer.atUs() <= untilUs && !firedTimers.contains(timer))
+                .map(SetTimer.class::cast)
+                .min(Comparator.comparingLong(SetTimer::atUs));
     }
 
-    StartAttempt lastSend(String id) {
+    /** Returns the latest attempt of a request, or null if none was started. */
+    StartAttempt lastAttempt(String requestId) {
         StartAttempt last = null;
         for (Action action : actions) {
-            if (action instanceof StartAttempt s && s.requestId().equals(id)) {
-                last = s;
+            if (action instanceof StartAttempt start && start.requestId().equals(requestId)) {
+                last = start;
             }
         }
         return last;
     }
 
-    int sends(String id) {
-        return attempts.getOrDefault(id, 0);
+    /** Returns how many attempts of a request were started. */
+    int attemptCount(String requestId) {
+        return attemptCounts.getOrDefault(requestId, 0);
     }
 
-    /** A request arrives and is answered after a while; returns the backend that it went to. */
-    String serve(RequestClass type, long latencyUs) {
-        String id = arrive(type);
-        now += latencyUs;
-        end(id, AttemptOutcome.SUCCESS, latencyUs);
-        return lastSend(id).endpointId();
+    /** Returns how many attempts of all requests were started. */
+    long startedAttempts() {
+        return actions.stream().filter(action -> action instanceof StartAttempt).count();
     }
 
-    boolean has(Action action) {
+    boolean hasEmitted(Action action) {
         return actions.contains(action);
     }
 }
