--- /dev/null
+++ b/src/main/java/gaugegw/balancer/DuplicateExecutionGuard.java
@@ -0,0 +1,58 @@
+package gaugegw.balancer;
+
+import gaugegw.balancer.api.AttemptOutcome;
+import gaugegw.balancer.api.BalancerSettings;
+import gaugegw.balancer.api.DeduplicationScope;
+import gaugegw.balancer.api.Endpoint;
+import gaugegw.balancer.api.Idempotency;
+import gaugegw.balancer.api.RequestClass;
+
+/**
+ * Guards against a request that takes effect twice. The invariant: once an attempt may have executed, another attempt
+ * starts, and a rejection invites the client to retry, only where the request's class makes a repeat harmless.
+ */
+record DuplicateExecutionGuard(BalancerSettings settings) {
+    /** Returns whether an attempt may start at an endpoint now. */
+    boolean permitsAttempt(PendingRequest request, EndpointRecord endpoint, long nowUs) {
+        RequestClass requestClass = request.requestClass;
+        return request.attempts.isEmpty()
+                || requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || request.attempts.stream()
+                        .allMatch(earlier ->
+                                !mayHaveExecuted(earlier) || isDeduplicated(requestClass, earlier, endpoint, nowUs));
+    }
+
+    /** Returns whether a retry by the client is harmless, whichever proxy and endpoint it reaches. */
+    boolean isClientRetryHarmless(PendingRequest request) {
+        RequestClass requestClass = request.requestClass;
+        return requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || (requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                        && requestClass.deduplicationScope() == DeduplicationScope.ALL)
+                || request.attempts.stream().noneMatch(this::mayHaveExecuted);
+    }
+
+    /** A rejection proves that an attempt did not execute, unless endpoints may reject what they had begun. */
+    private boolean mayHaveExecuted(AttemptRecord attempt) {
+        return attempt.isInFlight()
+                || !attempt.outcome.provesNotExecuted()
+                || (attempt.outcome == AttemptOutcome.REJECTED
+                        && settings.safetyLimits().rejectedMayHaveExecuted());
+    }
+
+    /** Returns whether an endpoint discards a repeat of an earlier attempt, however long connecting takes. */
+    private boolean isDeduplicated(
+            RequestClass requestClass, AttemptRecord earlier, EndpointRecord endpoint, long nowUs) {
+        long latestStartUs = nowUs + settings.limits().connectTimeoutUs();
+        return requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                && latestStartUs < earlier.startedAtUs + requestClass.deduplicationWindowUs()
+                && sharesScope(requestClass.deduplicationScope(), earlier.startedTo, endpoint.listed);
+    }
+
+    private static boolean sharesScope(DeduplicationScope scope, Endpoint first, Endpoint second) {
+        return switch (scope) {
+            case ALL -> true;
+            case ZONE -> String.valueOf(first.zone()).equals(second.zone());
+            case CELL -> first.cell() == second.cell();
+        };
+    }
+}
--- a/src/main/java/gaugegw/balancer/EarliestDeadlineLoadBalancer.java
+++ b/src/main/java/gaugegw/balancer/EarliestDeadlineLoadBalancer.java
@@ -8,27 +8,21 @@
 import gaugegw.balancer.api.Action.StartAttempt;
 import gaugegw.balancer.api.AttemptOutcome;
 import gaugegw.balancer.api.BalancerSettings;
-import gaugegw.balancer.api.DeduplicationScope;
-import gaugegw.balancer.api.Endpoint;
 import gaugegw.balancer.api.Event;
 import gaugegw.balancer.api.Event.AttemptEnded;
 import gaugegw.balancer.api.Event.ClientDisconnected;
 import gaugegw.balancer.api.Event.EndpointUpdate;
 import gaugegw.balancer.api.Event.RequestArrived;
 import gaugegw.balancer.api.Event.TimerFired;
-import gaugegw.balancer.api.Idempotency;
 import gaugegw.balancer.api.LoadBalancer;
 import gaugegw.balancer.api.RequestClass;
-import gaugegw.balancer.api.SafetyLimits;
 import gaugegw.balancer.api.Tenant;
 import gaugegw.balancer.api.UpdateKind;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.function.Consumer;
 
 /**
@@ -39,20 +33,6 @@
  */
 public final class EarliestDeadlineLoadBalancer implements LoadBalancer {
 
-    /** The backend that is likely warm for a request's key counts as this many times its weight. */
-    private static final double WARM_KEY_PREFERENCE = 4;
-    /** A backend in the proxy's own zone counts as this many times its weight. */
-    private static final double OWN_ZONE_PREFERENCE = 4;
-    /** So many proxies share a backend, if there are no more proxies than backends. */
-    private static final double PROXIES_PER_BACKEND = 3;
-    /** But never less than this multiple of the unloaded latency, or backends idle and the limit can't grow. */
-    private static final double LATENCY_HEADROOM = 1.2;
-    /** An attempt in flight for this many times the mean of answers hangs, or is one of a costly few: it does not count. */
-    private static final double HUNG_LATENCY_MULTIPLE = 8;
-    /** But it counts where time-outs are more than this part of the outcomes: then it is the load that holds them up. */
-    private static final double HUNG_MAX_TIMEOUT_SHARE = 0.08;
-    /** Attempts in flight at each backend, from all proxies, that are never too many; under 3 it is a mean. */
-    private static final double MIN_ATTEMPTS_PER_BACKEND = 3;
     /** Further attempts allowed for each request, and how many may be saved up. */
     private static final double RETRY_RATE = 0.2;
 
@@ -61,13 +41,14 @@
     private static final double LATE = 2;
 
     private final BalancerSettings settings;
-    private final SafetyLimits rules;
     private final Map<String, Quota> quotas = new HashMap<>();
     private final Map<String, Long> leastLeft = new HashMap<>();
     private final EndpointMembership membership;
     private final EndpointWeights weights;
     private final LoadMeasurement load;
-    private final SlowStartBudget slowStart;
+    private final DuplicateExecutionGuard guard;
+    private final ConcurrencyLimiter limiter;
+    private final EarliestDeadlineSelector selector;
     private final DiscoveryPolling polling;
     private boolean started;
     private final Map<String, PendingRequest> requests = new HashMap<>();
@@ -76,18 +57,11 @@
     private final OutcomeRates rates = new OutcomeRates();
     private final long refreshUs;
     private double retryTokens = RETRY_BURST;
-    private int outstanding;
-    private final Set<AttemptRecord> inOrder = new LinkedHashSet<>();
     /** How long an answer may take at the limit, in microseconds. */
     private final long latencyBudgetUs;
 
     private final List<PendingRequest> held = new ArrayList<>();
-    /** Attempts that may be in flight, as of the event in hand. */
-    private double attemptLimit;
-    /** The limit that was left unused, as attempts times microseconds; below 0 where it was overdrawn. */
-    private double unusedLimitUs;
 
-    private long unusedLimitAt;
     private long wakeAt = Long.MIN_VALUE;
     private long now;
     private Consumer<Action> out;
@@ -95,7 +69,6 @@
     /** Starts an instance that knows nothing but its settings. */
     public EarliestDeadlineLoadBalancer(BalancerSettings settings) {
         this.settings = settings;
-        this.rules = settings.safetyLimits();
         settings.tenants().forEach(t -> quotas.put(t.name(), new Quota(t, settings, quotas.size())));
         this.flows = new RequestFlows(settings, quotas.size());
         this.periods = ControlPeriods.of(settings);
@@ -104,7 +77,11 @@
         this.membership = new EndpointMembership(settings, flows.count(), periods);
         this.weights = new EndpointWeights(membership, periods);
         this.load = new LoadMeasurement(periods);
-        this.slowStart = new SlowStartBudget(settings, membership, load);
+        this.guard = new DuplicateExecutionGuard(settings);
+        this.limiter = new ConcurrencyLimiter(settings.proxyCount(), periods, membership, load, rates);
+        var slowStart = new SlowStartBudget(settings, membership, load);
+        this.selector =
+                new EarliestDeadlineSelector(settings.proxyCount(), membership, guard, slowStart, load, limiter);
         this.polling = new DiscoveryPolling(settings);
     }
 
@@ -124,11 +101,7 @@
     @Override
     public void handle(long nowUs, Event event, Consumer<Action> actions) {
         now = nowUs;
-        attemptLimit = admissionLimit();
-        // One of hundreds of proxies may have less than one attempt out: in the mean of a time.
-        unusedLimitUs = Math.min(
-                attemptLimit * refreshUs, unusedLimitUs + (attemptLimit - countedAttempts()) * (now - unusedLimitAt));
-        unusedLimitAt = now;
+        limiter.update(now);
         out = actions;
         if (!started) {
             started = true;
@@ -168,16 +141,6 @@
         weights.refresh(now);
     }
 
-    /** Guards against backends hung, dead, slow or ill for some requests only, whatever the cause. */
-    private boolean isHealthy(EndpointRecord s, PendingRequest r) {
-        return s.health.isHealthy(r.flow, s.latency.kind.meanUs(), now);
-    }
-
-    /** Returns whether a failure has shown that a backend is ill, for all requests or for those of this flow. */
-    private boolean inBackoff(EndpointRecord s, PendingRequest r) {
-        return s.health.isBackingOff(r.flow, now);
-    }
-
     // Pick
 
     private void arrival(RequestArrived a) {
@@ -202,47 +165,6 @@
         hold(r);
     }
 
-    private EndpointRecord pick(PendingRequest r) {
-        EndpointRecord best = null;
-        double earliest = Double.POSITIVE_INFINITY;
-        int balance = 0;
-        int standing = 0;
-        // Far busier than others, a proxy takes a larger part: a backend for each attempt out in the mean.
-        double left = Math.max(
-                PROXIES_PER_BACKEND * membership.ready().size() / settings.proxyCount(),
-                load.answersPerUs(now) * load.unloadedLatencyUs());
-        for (EndpointRecord s : membership.ready()) {
-            if (!effectAllows(s, r)) {
-                continue;
-            }
-            boolean trust = isHealthy(s, r);
-            boolean failing = inBackoff(s, r);
-            balance += trust ? 3 : -1;
-            standing += failing ? -1 : 3;
-            double deadline = (s.virtualTime + 1)
-                    / (s.weight
-                            * (s.inProxyZone ? OWN_ZONE_PREFERENCE : 1)
-                            * (s == r.affinityEndpoint ? WARM_KEY_PREFERENCE : 1));
-            deadline *= r.hasTried(s) ? 1e6 : 1;
-            // Where nearly all look ill, those that are merely slow come before those that fail.
-            deadline *= trust ? 1 : failing ? 1e24 : 1e18;
-            // Few have a cold backend in their part: it would get nothing of what the rest may send it.
-            boolean open = !trust || left > 0 || slowStart.isWarmingUp(s, now);
-            if (open && deadline < earliest && isBelowItsShare(s) && slowStart.mayStartAttempt(s, now)) {
-                best = s;
-                earliest = deadline;
-            }
-            LatencyAverage kind = s.latency.kind;
-            boolean sound = kind.samples() == 0 || s.latency.expectedUs() < 4 * kind.meanUs();
-            left -= settings.proxyCount() > PROXIES_PER_BACKEND && trust && sound && !slowStart.isWarmingUp(s, now)
-                    ? 1
-                    : 0;
-        }
-        // If nearly all look ill, it is this proxy that is cut off, or the load: then all are tried on. But where some
-        // answer late and the others fail, those that fail are left alone.
-        return best == null || (inBackoff(best, r) ? standing : balance) < 0 || isHealthy(best, r) ? best : null;
-    }
-
     /** Returns the backend that is likely warm for a key: all proxies find the same one, by rendezvous hashing. */
     private EndpointRecord warmServer(String key) {
         return membership.ready().stream()
@@ -250,94 +172,15 @@
                 .orElse(null);
     }
 
-    /**
-     * A backend may have its weight's share of all attempts out, at least 1. Counters see sends alone; this
-     * sees a backend that answers late or not at all, whatever the cause.
-     */
-    private boolean isBelowItsShare(EndpointRecord s) {
-        return s.health.attemptsInFlight() < Math.max(1, Math.ceil(s.weight * (outstanding + 1)));
-    }
-
-    /** Rule 2: a request that may have run goes only where its class lets it run again, and in time to begin there. */
-    private boolean effectAllows(EndpointRecord s, PendingRequest r) {
-        return r.attempts.isEmpty()
-                || r.requestClass.idempotency() == Idempotency.IDEMPOTENT
-                || r.attempts.stream()
-                        .allMatch(a -> !mayHaveRun(a)
-                                || (r.requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                                        && now + settings.limits().connectTimeoutUs()
-                                                < a.startedAtUs + r.requestClass.deduplicationWindowUs()
-                                        && sameGroup(r.requestClass.deduplicationScope(), a.startedTo, s.listed)));
-    }
-
-    /** Rule 5: where 'full' is no proof, it counts as any other failure, for sends and refusals alike. */
-    private boolean mayHaveRun(AttemptRecord a) {
-        return a.isInFlight()
-                || !a.outcome.provesNotExecuted()
-                || (a.outcome == AttemptOutcome.REJECTED && rules.rejectedMayHaveExecuted());
-    }
-
-    private static boolean sameGroup(DeduplicationScope scope, Endpoint a, Endpoint b) {
-        return switch (scope) {
-            case ALL -> true;
-            case ZONE -> String.valueOf(a.zone()).equals(b.zone());
-            case CELL -> a.cell() == b.cell();
-        };
-    }
-
-    /**
-     * Returns how many attempts may be in flight: what is answered within the latency budget, what keeps backends
-     * busy, or a floor by their cores. Part of an attempt counts in the mean of a time.
-     */
-    private double admissionLimit() {
-        double byRate = load.answersPerUs(now) * Math.max(latencyBudgetUs, LATENCY_HEADROOM * load.unloadedLatencyUs());
-        // With less than a backend to itself, a proxy tells overload from chance by how much it refuses.
-        double share = membership.ready().size() / (double) settings.proxyCount();
-        double cores = Math.min(
-                MIN_ATTEMPTS_PER_BACKEND,
-                Math.max(1, load.endpointThroughputPerUs() * settings.proxyCount() * load.unloadedLatencyUs()));
-        return Math.max(
-                byRate,
-                share
-                        * (MIN_ATTEMPTS_PER_BACKEND
-                                + (share < 1 ? cores * (1 - rates.rejectionShare()) - rates.rejectionShare() : 0)));
-    }
-
-    /** Attempts in flight that count against the limit: not hung ones, which would keep others from free backends. */
-    private int countedAttempts() {
-        if (!load.hasReliableLatency() || rates.timeoutShare() > HUNG_MAX_TIMEOUT_SHARE) {
-            return outstanding;
-        }
-        double hungUs = Math.max(latencyBudgetUs, HUNG_LATENCY_MULTIPLE * load.meanLatencyUs());
-        int hung = 0;
-        for (AttemptRecord a : inOrder) {
-            if (now - a.startedAtUs < hungUs) {
-                break;
-            }
-            hung++;
-        }
-        return outstanding - hung;
-    }
-
-    /** Whether one more may be in flight: the limit's whole part always, the rest as it was left unused. */
-    private boolean mayAdmit(PendingRequest r) {
-        // Dearer ones may overdraw: a proxy of hundreds never holds enough requests to order them by worth.
-        int countedAttempts = countedAttempts();
-        return countedAttempts < Math.max(attemptLimit, MIN_ATTEMPTS_PER_BACKEND)
-                && (countedAttempts + 1 <= attemptLimit
-                        || unusedLimitUs >= -r.lowerPriorityShare * attemptLimit * refreshUs);
-    }
-
     private void send(PendingRequest r, EndpointRecord s) {
         s.virtualTime += 1;
         s.health.attemptStarted(r.flow, now);
-        outstanding++;
         s.slowStartAllowance.use();
         // A slow answer is worth waiting for, but not long past its aim: silence takes up the room of others.
         long cutUs = now < r.objectiveAtUs ? (long) (LATE * (r.objectiveAtUs - now)) : Long.MAX_VALUE;
         var a = new AttemptRecord(s, now, Math.min(r.deadlineAtUs - now, cutUs));
         r.attemptStarted(a);
-        inOrder.add(a);
+        limiter.attemptStarted(a);
         out.accept(new StartAttempt(r.id, s.id, a.timeoutUs));
     }
 
@@ -352,8 +195,7 @@
         EndpointRecord s = a.endpoint;
         r.attemptEnded(a, e.outcome());
         s.health.attemptEnded(r.flow, e.outcome(), now);
-        outstanding--;
-        inOrder.remove(a);
+        limiter.attemptEnded(a);
         membership.closeIdleUnlessReady(s, out);
         boolean ok = e.outcome() == AttemptOutcome.SUCCESS;
         if (e.outcome() != AttemptOutcome.CANCELLED && e.outcome() != AttemptOutcome.NOT_SENT) {
@@ -398,7 +240,7 @@
         if (now < r.objectiveAtUs
                 && retryTokens >= 1
                 && r.attempts.size() < settings.limits().maxAttempts()
-                && membership.ready().stream().anyMatch(s -> effectAllows(s, r))) {
+                && membership.ready().stream().anyMatch(s -> guard.permitsAttempt(r, s, now))) {
             retryTokens -= 1;
             hold(r);
         } else {
@@ -450,9 +292,9 @@
         for (int i = 0;
                 i < held.size()
                         && held.get(i).priorityWeight == held.get(0).priorityWeight
-                        && mayAdmit(held.get(i)); ) {
+                        && limiter.permits(held.get(i), now); ) {
             PendingRequest r = held.get(i);
-            if (r.affinityEndpoint != null && pick(r) == r.affinityEndpoint) {
+            if (r.affinityEndpoint != null && selector.select(r, now) == r.affinityEndpoint) {
                 held.remove(i);
                 send(r, r.affinityEndpoint);
             } else {
@@ -461,9 +303,9 @@
         }
         // A flow that must wait for the backends that still answer it keeps no other from the rest.
         var waiting = new boolean[flows.count()];
-        for (int i = 0; i < held.size() && mayAdmit(held.get(i)); ) {
+        for (int i = 0; i < held.size() && limiter.permits(held.get(i), now); ) {
             PendingRequest r = held.get(i);
-            EndpointRecord s = waiting[r.flow] && r.attempts.isEmpty() ? null : pick(r);
+            EndpointRecord s = waiting[r.flow] && r.attempts.isEmpty() ? null : selector.select(r, now);
             if (s != null) {
                 held.remove(i);
                 send(r, s);
@@ -474,7 +316,7 @@
         }
         for (int i = held.size() - 1; i >= 0; i--) {
             PendingRequest r = held.get(i);
-            if (r.giveUpAtUs <= now || membership.ready().isEmpty() || i >= Math.max(attemptLimit, 1)) {
+            if (r.giveUpAtUs <= now || membership.ready().isEmpty() || i >= Math.max(limiter.limit(), 1)) {
                 held.remove(i);
                 finish(r);
             }
@@ -490,11 +332,7 @@
     /** Gives the final answer: a refusal where a repeat is harmless, else a failure. */
     private void finish(PendingRequest r) {
         rates.recordRejection();
-        boolean harmless = r.requestClass.idempotency() == Idempotency.IDEMPOTENT
-                || (r.requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                        && r.requestClass.deduplicationScope() == DeduplicationScope.ALL)
-                || r.attempts.stream().noneMatch(this::mayHaveRun);
-        out.accept(harmless ? new Reject(r.id, comeBackUs(r)) : new Fail(r.id));
+        out.accept(guard.isClientRetryHarmless(r) ? new Reject(r.id, comeBackUs(r)) : new Fail(r.id));
         close(r);
     }
 
