--- /dev/null
+++ b/src/main/java/gaugegw/balancer/AttemptOutcomeRecorder.java
@@ -0,0 +1,30 @@
+package gaugegw.balancer;
+
+import gaugegw.balancer.api.AttemptOutcome;
+import gaugegw.balancer.api.Event.AttemptEnded;
+
+/** Feeds the outcome of an attempt to the health, latency and load statistics. */
+record AttemptOutcomeRecorder(OutcomeRates rates, LoadMeasurement load) {
+    void record(PendingRequest request, AttemptRecord attempt, AttemptEnded event, long nowUs) {
+        AttemptOutcome outcome = event.outcome();
+        boolean causedByEndpoint = outcome != AttemptOutcome.CANCELLED && outcome != AttemptOutcome.NOT_SENT;
+        if (causedByEndpoint) {
+            rates.recordAttempt(outcome);
+            attempt.endpoint.health.recordOutcome(request.flow, outcome, rates.errorShare(), nowUs);
+            attempt.endpoint.latency.record(effectiveLatencyUs(request, attempt, event));
+        }
+        if (outcome == AttemptOutcome.SUCCESS) {
+            load.recordAnswer(event.latencyUs(), nowUs);
+            rates.recordSuccess();
+        }
+    }
+
+    /** A failure counts as a slow answer, or an endpoint that fails fast would gain weight by it. */
+    private static long effectiveLatencyUs(PendingRequest request, AttemptRecord attempt, AttemptEnded event) {
+        return switch (event.outcome()) {
+            case SUCCESS -> event.latencyUs();
+            case ERROR -> request.requestClass.latencyObjectiveUs();
+            case REJECTED, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, NOT_SENT -> attempt.timeoutUs;
+        };
+    }
+}
--- /dev/null
+++ b/src/main/java/gaugegw/balancer/RejectionPolicy.java
@@ -0,0 +1,39 @@
+package gaugegw.balancer;
+
+import gaugegw.balancer.api.Action;
+import java.util.function.Consumer;
+
+/** Gives the final answer to a request that is not attempted any more. */
+record RejectionPolicy(
+        long maxRetryAfterUs,
+        ControlPeriods periods,
+        EndpointMembership membership,
+        LoadMeasurement load,
+        AdmissionQueue queue,
+        DuplicateExecutionGuard duplicateGuard,
+        OutcomeRates rates,
+        RequestRegistry registry) {
+    /** Clients are spread over this part of the Retry-After, so that they do not retry at the same moment. */
+    private static final double RETRY_AFTER_JITTER = 0.25;
+
+    /** Ends a request: with a rejection where a retry by the client is harmless, else with a failure. */
+    void reject(PendingRequest request, long nowUs, Consumer<Action> actions) {
+        rates.recordRejection();
+        boolean retryHarmless = duplicateGuard.isClientRetryHarmless(request);
+        actions.accept(
+                retryHarmless
+                        ? new Action.Reject(request.id, retryAfterUs(request, nowUs))
+                        : new Action.Fail(request.id));
+        registry.close(request, actions);
+    }
+
+    /** Returns when there may be capacity, in microseconds from now: what is queued now has been answered by then. */
+    private long retryAfterUs(PendingRequest request, long nowUs) {
+        double queueUs = membership.ready().isEmpty()
+                ? periods.refreshUs()
+                : queue.size() / Math.max(load.answersPerUs(nowUs), 1.0 / periods.refreshUs());
+        double jitter = (HashMixer.mix(request.id.hashCode()) >>> Short.SIZE) / (double) (1 << Short.SIZE);
+        return (long) ((1 - RETRY_AFTER_JITTER * jitter)
+                * Math.min(Math.max(periods.latencyBudgetUs(), queueUs), maxRetryAfterUs));
+    }
+}
--- /dev/null
+++ b/src/main/java/gaugegw/balancer/RequestRegistry.java
@@ -0,0 +1,42 @@
+package gaugegw.balancer;
+
+import gaugegw.balancer.api.Action;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.function.Consumer;
+
+/** The requests without a final answer, and those with attempts still in flight, by id. */
+final class RequestRegistry {
+    private final boolean cancellation;
+    private final Map<String, PendingRequest> byId = new HashMap<>();
+
+    RequestRegistry(boolean cancellation) {
+        this.cancellation = cancellation;
+    }
+
+    void add(PendingRequest request) {
+        byId.put(request.id, request);
+    }
+
+    /** Returns a request, or null if it is not known, or no longer. */
+    PendingRequest find(String requestId) {
+        return byId.get(requestId);
+    }
+
+    int size() {
+        return byId.size();
+    }
+
+    /** Marks a request as answered, cancels its attempts, and forgets it once none is in flight. */
+    void close(PendingRequest request, Consumer<Action> actions) {
+        for (int i = 0; i < request.attempts.size() && cancellation && !request.answered; i++) {
+            if (request.isInFlight(i)) {
+                actions.accept(new Action.CancelAttempt(request.id, i));
+            }
+        }
+        request.answered = true;
+        if (request.attemptsInFlight == 0) {
+            byId.remove(request.id);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/gaugegw/balancer/TenantQuotas.java
@@ -0,0 +1,59 @@
+package gaugegw.balancer;
+
+import gaugegw.balancer.api.BalancerSettings;
+import gaugegw.balancer.api.Tenant;
+import java.util.HashMap;
+import java.util.Map;
+
+/** This proxy's part of the tenants' quotas; requests without a known tenant have no quota to exceed. */
+final class TenantQuotas {
+    private final Map<String, Quota> byTenant = new HashMap<>();
+
+    TenantQuotas(BalancerSettings settings, ControlPeriods periods) {
+        for (Tenant tenant : settings.tenants()) {
+            double requestsPerUs = tenant.quotaPerSecond() / 1e6 / settings.proxyCount();
+            byTenant.put(tenant.name(), new Quota(byTenant.size(), requestsPerUs, requestsPerUs * periods.refreshUs()));
+        }
+    }
+
+    int count() {
+        return byTenant.size();
+    }
+
+    /** Returns the number of a tenant from 0, or {@link #count()} if it is null or not known. */
+    int number(String tenant) {
+        Quota quota = byTenant.get(tenant);
+        return quota == null ? count() : quota.number;
+    }
+
+    /** Counts a request and returns whether it is over quota. A retry uses nothing, as the first attempt has. */
+    boolean isOverQuota(String tenant, boolean retry, long nowUs) {
+        Quota quota = byTenant.get(tenant);
+        return quota != null && !quota.admits(retry, nowUs);
+    }
+
+    /** A token bucket that holds up to one refresh period's requests. */
+    private static final class Quota {
+        private final int number;
+        private final double requestsPerUs;
+        private final double maxTokens;
+        private double tokens;
+        private long refilledAtUs;
+
+        Quota(int number, double requestsPerUs, double maxTokens) {
+            this.number = number;
+            this.requestsPerUs = requestsPerUs;
+            this.maxTokens = maxTokens;
+        }
+
+        boolean admits(boolean retry, long nowUs) {
+            tokens = Math.min(maxTokens, tokens + requestsPerUs * (nowUs - refilledAtUs));
+            refilledAtUs = nowUs;
+            if (tokens < 1) {
+                return false;
+            }
+            tokens -= retry ? 0 : 1;
+            return true;
+        }
+    }
+}
