--- a/src/main/java/gaugegw/proxy/dispatch/DispatchedRequest.java
+++ b/src/main/java/gaugegw/proxy/dispatch/DispatchedRequest.java
@@ -1,6 +1,6 @@
 package gaugegw.proxy.dispatch;
 
-import gaugegw.proxy.upstream.UpstreamClient.UpstreamAttempt;
+import gaugegw.proxy.upstream.UpstreamAttempt;
 import gaugegw.proxy.upstream.UpstreamRequest;
 import io.netty.util.concurrent.Future;
 import java.util.ArrayList;
