--- a/src/main/java/gaugegw/balancer/AdmissionQueue.java
+++ b/src/main/java/gaugegw/balancer/AdmissionQueue.java
@@ -12,7 +12,7 @@
     private final EndpointMembership membership;
     private final List<PendingRequest> requests = new ArrayList<>();
 
-    /** A request is given up while an attempt can be answered in time, and the client told before its deadline. */
+    /** A request is given up while an attempt can be answered in time, and the final answer beats the deadline. */
     AdmissionQueue(ControlPeriods periods, long minEventIntervalUs, RequestFlows flows, EndpointMembership membership) {
         this.giveUpBeforeObjectiveUs = 2 * periods.latencyBudgetUs();
         this.giveUpBeforeDeadlineUs = 2 * minEventIntervalUs;
--- a/src/main/java/gaugegw/balancer/api/BalancerSettings.java
+++ b/src/main/java/gaugegw/balancer/api/BalancerSettings.java
@@ -3,8 +3,19 @@
 import java.util.List;
 
 /**
- * All that an instance is told at its start. {@code rank} is its number among the balancers, from 0.
- * {@code tickUs} is the least time between two rounds of events.
+ * The settings of one instance, fixed for its lifetime.
+ *
+ * @param proxyCount number of proxies that share the endpoints
+ * @param proxyIndex number of this proxy among them, from 0
+ * @param zone the zone this proxy runs in
+ * @param minEventIntervalUs the least time between two rounds of events, in microseconds
+ * @param requestClasses the classes of request, at least one
+ * @param tenants the tenants with a quota; may be empty
+ * @param overQuotaWeightFraction part of the priority weight, from 0 to 1, of a request over its tenant's quota
+ * @param cacheAffinity whether endpoints answer a key that they have cached with less work
+ * @param limits what the proxy may do
+ * @param safetyLimits the limits that protect endpoints and the endpoint list's timeliness
+ * @param seed the seed of all random numbers
  */
 public record BalancerSettings(
         int proxyCount,
--- a/src/main/java/gaugegw/balancer/api/Limits.java
+++ b/src/main/java/gaugegw/balancer/api/Limits.java
@@ -1,9 +1,16 @@
 package gaugegw.balancer.api;
 
 /**
- * What the proxy may do. {@code listMustBeAsked}: the list comes only after {@link WatchEndpoints} or {@link FetchEndpoints}. An attempt
- * begins up to {@code connectTimeoutUs} after it was asked for, or not at all. {@code maxRetryAfterUs} is 0 where clients
- * are not to be told when to come back.
+ * What the proxy may do.
+ *
+ * @param cancellation whether {@link Action.CancelAttempt} is permitted
+ * @param hedging whether a request may have two attempts in flight
+ * @param healthChecks whether {@link Action.CheckHealth} is permitted
+ * @param endpointsArePolled whether endpoint updates arrive only after {@link Action.WatchEndpoints} or
+ *     {@link Action.FetchEndpoints}
+ * @param maxAttempts the most attempts of one request
+ * @param maxRetryAfterUs the longest advice of {@link Action.Reject#retryAfterUs}, in microseconds; 0 for none at all
+ * @param connectTimeoutUs an attempt begins at the endpoint so long after its start at the latest, in microseconds
  */
 public record Limits(
         boolean cancellation,
--- a/src/main/java/gaugegw/balancer/api/LoadBalancer.java
+++ b/src/main/java/gaugegw/balancer/api/LoadBalancer.java
@@ -3,17 +3,20 @@
 import java.util.function.Consumer;
 
 /**
- * The interface of the decision module: settings in, then events in and actions out.
+ * Decides where the requests of one proxy are sent.
  *
- * <p>One instance serves one proxy and is used by one thread. It has no clock and does no I/O: each event comes with
- * the proxy's time in microseconds, which never goes back. Equal settings, seed and events give equal actions. The
- * proxy carries the actions out in the order given. All durations are in microseconds.
+ * <p>An instance is confined to one thread. It has no clock and does no I/O. Equal settings and events give equal
+ * actions.
  */
 public interface LoadBalancer {
     /**
-     * Takes one event and hands out what the proxy is to do about it.
+     * Takes one event and hands out the actions that follow from it, before it returns. The proxy must carry them out in
+     * the order given.
      *
      * @param nowUs the proxy's clock, in microseconds, not before that of the event before
+     * @param event what happened
+     * @param actions receives the actions; must not call this instance
+     * @throws IllegalArgumentException if a request is of a class that the settings do not have
      */
     void handle(long nowUs, Event event, Consumer<Action> actions);
 }
--- a/src/main/java/gaugegw/balancer/api/RequestClass.java
+++ b/src/main/java/gaugegw/balancer/api/RequestClass.java
@@ -1,6 +1,18 @@
 package gaugegw.balancer.api;
 
-/** A request class: an answer within {@code aimUs} earns {@code worth}, a later one that part of it. */
+/**
+ * A class of requests.
+ *
+ * @param name the class's name, as requests carry it
+ * @param latencyObjectiveUs time within which a request is to be answered, in microseconds
+ * @param deadlineUs how long a client waits in all, over its own retries, in microseconds
+ * @param priorityWeight the priority of a request that is answered within its objective; not negative, without a unit
+ * @param lateWeightFraction part of that weight, from 0 to 1, that an answer after the objective still has
+ * @param idempotency whether a request may be executed again
+ * @param deduplicationScope which endpoints discard repeats; may be null unless idempotent with a key
+ * @param deduplicationWindowUs how long they do, from the start of the first attempt that may have executed, in
+ *     microseconds
+ */
 public record RequestClass(
         String name,
         long latencyObjectiveUs,
--- a/src/main/java/gaugegw/balancer/api/SafetyLimits.java
+++ b/src/main/java/gaugegw/balancer/api/SafetyLimits.java
@@ -1,9 +1,15 @@
 package gaugegw.balancer.api;
 
 /**
- * The figures of the rules: a backend starts at {@code coldFrom} of its capacity, is warm after {@code coldUs},
- * and falls over when all proxies send more than {@code fallMultiple} of its capacity for {@code fallUs}.
- * Where {@code fullUnproven}, a backend may answer {@link AttemptOutcome#REJECTED} for work that it had begun.
+ * The limits that keep endpoints from failing by overload after a start, and the endpoint list from being out of date.
+ *
+ * @param initialCapacity the part of its capacity, from 0 to 1, that an endpoint has at its start at least
+ * @param slowStartUs time after which it has its full capacity, in microseconds
+ * @param overloadMultiple an endpoint that has not reached its full capacity fails when it receives more than this
+ *     multiple of its present capacity, from all proxies together
+ * @param overloadWindowUs the time over which that is counted, in microseconds
+ * @param pollIntervalUs the longest time without a poll where there is no watch of the endpoint list, in microseconds
+ * @param rejectedMayHaveExecuted whether an endpoint may answer {@link AttemptOutcome#REJECTED} to work that it had begun
  */
 public record SafetyLimits(
         double initialCapacity,
--- a/src/main/java/gaugegw/balancer/api/Tenant.java
+++ b/src/main/java/gaugegw/balancer/api/Tenant.java
@@ -1,6 +1,11 @@
 package gaugegw.balancer.api;
 
-/** A tenant and the requests a second, over all proxies, that its share entitles it to. */
+/**
+ * A tenant.
+ *
+ * @param name the tenant's name, as requests carry it
+ * @param quotaPerSecond its quota in requests per second, over all proxies
+ */
 public record Tenant(String name, double quotaPerSecond) {
     public Tenant {
         BalancerSettings.require(name != null && !name.isEmpty(), "tenant name");
--- /dev/null
+++ b/src/main/java/gaugegw/balancer/package-info.java
@@ -0,0 +1,24 @@
+/**
+ * The decisions of the proxy: which endpoint receives an attempt, what waits, what is retried and what is given up.
+ *
+ * <p>{@link gaugegw.balancer.EarliestDeadlineLoadBalancer} is the entry. It takes the events and calls the parts:
+ *
+ * <ul>
+ *   <li>Endpoints: {@code EndpointMembership} applies the endpoint list, {@code EndpointHealth} judges by the outcomes of
+ *       attempts, {@code EndpointWeights} sets the weights, {@code SlowStartBudget} protects what has just started.
+ *   <li>Requests: {@code RequestPriority} and {@code TenantQuotas} set the priority, {@code AdmissionQueue} orders the
+ *       waiting, {@code ConcurrencyLimiter} bounds the attempts in flight, {@code AdmissionController} starts them at
+ *       the endpoint that {@code EarliestDeadlineSelector} selects.
+ *   <li>Failures: {@code RetryPolicy} decides on a retry, {@code DuplicateExecutionGuard} where a repeat is harmless,
+ *       {@code RejectionPolicy} gives the final answer.
+ *   <li>Discovery: {@code DiscoveryPolling} and {@code DiscoveryBackoff} decide when to poll the endpoint list.
+ * </ul>
+ *
+ * <p>The records of endpoints, requests and attempts and the averages of what was seen hold no decisions; the files of
+ * all other classes are named under {@code policy} in the deploy file.
+ *
+ * <p>Threading: an instance serves one proxy and is confined to one thread. It has no clock and does no I/O. Time comes
+ * in with each event, in microseconds, and random numbers come from the seed in the settings, so that equal settings and
+ * events give equal actions. For this reason no decision depends on the iteration order of a hash table.
+ */
+package gaugegw.balancer;
