--- a/src/main/java/gaugegw/balancer/AttemptRecord.java
+++ b/src/main/java/gaugegw/balancer/AttemptRecord.java
@@ -9,7 +9,9 @@
     /** The list entry when the attempt started: a later one may name another zone or cell. */
     final Endpoint startedTo;
 
+    /** On the proxy's clock, in microseconds. */
     final long startedAtUs;
+    /** In microseconds. */
     final long timeoutUs;
     /** Null while the attempt is in flight. */
     AttemptOutcome outcome;
--- a/src/main/java/gaugegw/balancer/EndpointLatency.java
+++ b/src/main/java/gaugegw/balancer/EndpointLatency.java
@@ -13,6 +13,7 @@
     private double ownSumUs;
     private double ownSamples;
 
+    /** Adds a sample, in microseconds, to the endpoint's own and to those of its kind. */
     void record(double latencyUs) {
         kind.record(latencyUs);
         ownSumUs += latencyUs;
@@ -24,6 +25,7 @@
         return (KIND_PRIOR_SAMPLES * kind.meanUs() + ownSumUs) / (KIND_PRIOR_SAMPLES + ownSamples);
     }
 
+    /** Reduces the influence of the endpoint's own samples, once a refresh of the weights. */
     void decayOwnSamples() {
         ownSumUs *= OWN_SAMPLES_KEPT;
         ownSamples *= OWN_SAMPLES_KEPT;
--- a/src/main/java/gaugegw/balancer/EndpointRecord.java
+++ b/src/main/java/gaugegw/balancer/EndpointRecord.java
@@ -2,7 +2,10 @@
 
 import gaugegw.balancer.api.Endpoint;
 
-/** What this proxy knows of one process behind an endpoint id; a restart under the same id gets a new record. */
+/**
+ * What this proxy knows of one process behind an endpoint id; a restart under the same id gets a new record. The
+ * membership sets what the list says, {@link EndpointWeights} the weight; attempts advance the virtual time.
+ */
 final class EndpointRecord {
     final String id;
     final EndpointHealth health;
@@ -13,6 +16,7 @@
     /** Whether attempts may start: not once it drains, is gone, or was replaced by a restart. */
     boolean ready;
 
+    /** Whether the endpoint is in the zone of this proxy. */
     boolean inProxyZone;
     /** The weights of all ready endpoints add up to 1. */
     double weight;
--- a/src/main/java/gaugegw/balancer/FailureBackoff.java
+++ b/src/main/java/gaugegw/balancer/FailureBackoff.java
@@ -5,10 +5,12 @@
  * that arrive during a backoff are ignored, as one fault may end many attempts at once.
  */
 final class FailureBackoff {
-    /** CLOSED: no recent failure. BACKING_OFF: nothing is sent. PROBING: the backoff has passed, without a success yet. */
     enum State {
+        /** No recent failure. */
         CLOSED,
+        /** Nothing is sent. */
         BACKING_OFF,
+        /** The backoff has passed, but too few successes have followed to close it. */
         PROBING
     }
 
--- a/src/main/java/gaugegw/balancer/LatencyAverage.java
+++ b/src/main/java/gaugegw/balancer/LatencyAverage.java
@@ -8,6 +8,7 @@
     private double meanUs;
     private int samples;
 
+    /** Adds a sample, in microseconds. */
     void record(double latencyUs) {
         samples = Math.min(samples + 1, MEMORY_SAMPLES);
         meanUs += (latencyUs - meanUs) / samples;
@@ -18,6 +19,7 @@
         return meanUs;
     }
 
+    /** Returns the number of samples, at most {@link #MEMORY_SAMPLES}. */
     int samples() {
         return samples;
     }
--- a/src/main/java/gaugegw/balancer/LoadMeasurement.java
+++ b/src/main/java/gaugegw/balancer/LoadMeasurement.java
@@ -8,7 +8,7 @@
 final class LoadMeasurement {
     /** Below so many answers, their mean latency is not relied upon. */
     private static final int MIN_RELIABLE_ANSWERS = LatencyAverage.MEMORY_SAMPLES / 32;
-    /** Weight of a new sample of the throughput, once the average has had a few. */
+    /** Weight of a new sample of the throughput, once there are a few; not quite 0.2, which is another double. */
     private static final double SAMPLE_WEIGHT = 1 - 0.8;
 
     private final long periodUs;
@@ -24,16 +24,19 @@
         periodUs = periods.refreshUs();
     }
 
+    /** Sets the first sample to be due one refresh period from now. */
     void start(long nowUs) {
         sampleDueAtUs = nowUs + periodUs;
     }
 
+    /** Takes a successful answer. */
     void recordAnswer(long latencyUs, long nowUs) {
         latency.record(latencyUs);
         answersPerUs = answersPerUs(nowUs) + 1.0 / periodUs;
         answeredAtUs = nowUs;
     }
 
+    /** Samples the unloaded latency and the throughput once in a refresh period. */
     void sampleIfDue(int endpointCount, long nowUs) {
         if (nowUs < sampleDueAtUs) {
             return;
@@ -52,6 +55,7 @@
         return latency.samples() >= MIN_RELIABLE_ANSWERS;
     }
 
+    /** Returns the mean latency of successful answers in microseconds, 0 without any. */
     double meanLatencyUs() {
         return latency.meanUs();
     }
--- a/src/main/java/gaugegw/balancer/PendingRequest.java
+++ b/src/main/java/gaugegw/balancer/PendingRequest.java
@@ -5,7 +5,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request without a final answer, or with attempts still in flight. Times are on the proxy's clock. */
+/**
+ * A request without a final answer, or with attempts still in flight. Times are on the proxy's clock, in microseconds.
+ * The queue sets what holds while queued, the registry what is answered; attempts are counted here.
+ */
 final class PendingRequest {
     final String id;
     final RequestClass requestClass;
@@ -14,17 +17,23 @@
     /** The requests of a key belong on one endpoint; null where affinity does not apply. */
     final String affinityKey;
 
+    /** Without a unit; requests of a higher weight go first. */
     final double priorityWeight;
+    /** When the latency objective passes; no retry begins afterwards. */
     final long objectiveAtUs;
+    /** When the client gives up. */
     final long deadlineAtUs;
+    /** By number, those that have ended included. */
     final List<AttemptRecord> attempts = new ArrayList<>(2);
+
     int attemptsInFlight;
     /** Whether the client has its final answer, or has left. */
     boolean answered;
-    /** While queued: when it is given up, the share of classes with a lower weight, and its key's endpoint or null. */
+    /** While queued: when it is given up. */
     long giveUpAtUs;
-
+    /** While queued: the share of the request classes with a lower priority weight, from 0 to 1. */
     double lowerPriorityShare;
+    /** While queued: the endpoint that likely has the affinity key cached, or null. */
     EndpointRecord affinityEndpoint;
 
     PendingRequest(
--- a/src/main/java/gaugegw/balancer/RejectionPolicy.java
+++ b/src/main/java/gaugegw/balancer/RejectionPolicy.java
@@ -32,7 +32,7 @@
         double queueUs = membership.ready().isEmpty()
                 ? periods.refreshUs()
                 : queue.size() / Math.max(load.answersPerUs(nowUs), 1.0 / periods.refreshUs());
-        double jitter = (HashMixer.mix(request.id.hashCode()) >>> Short.SIZE) / (double) (1 << Short.SIZE);
+        double jitter = (HashMixer.mix(request.id.hashCode()) >>> 16) / 65_536.0;
         return (long) ((1 - RETRY_AFTER_JITTER * jitter)
                 * Math.min(Math.max(periods.latencyBudgetUs(), queueUs), maxRetryAfterUs));
     }
--- a/src/main/java/gaugegw/balancer/RequestFlows.java
+++ b/src/main/java/gaugegw/balancer/RequestFlows.java
@@ -18,6 +18,7 @@
         flowsPerClass = tenantCount + 1;
     }
 
+    /** Returns a class, or throws an IllegalArgumentException if the settings do not have it. */
     RequestClass requestClass(String name) {
         RequestClass requestClass = byName.get(name);
         if (requestClass == null) {
@@ -26,6 +27,7 @@
         return requestClass;
     }
 
+    /** Returns the number of a flow, from 0 and below {@link #count()}. */
     int flow(RequestClass requestClass, int tenantNumber) {
         return classes.indexOf(requestClass) * flowsPerClass + tenantNumber;
     }
--- a/src/main/java/gaugegw/balancer/RequestRegistry.java
+++ b/src/main/java/gaugegw/balancer/RequestRegistry.java
@@ -29,14 +29,20 @@
 
     /** Marks a request as answered, cancels its attempts, and forgets it once none is in flight. */
     void close(PendingRequest request, Consumer<Action> actions) {
-        for (int i = 0; i < request.attempts.size() && cancellation && !request.answered; i++) {
-            if (request.isInFlight(i)) {
-                actions.accept(new Action.CancelAttempt(request.id, i));
-            }
+        if (cancellation && !request.answered) {
+            cancelAttempts(request, actions);
         }
         request.answered = true;
         if (request.attemptsInFlight == 0) {
             byId.remove(request.id);
         }
     }
+
+    private static void cancelAttempts(PendingRequest request, Consumer<Action> actions) {
+        for (int attempt = 0; attempt < request.attempts.size(); attempt++) {
+            if (request.isInFlight(attempt)) {
+                actions.accept(new Action.CancelAttempt(request.id, attempt));
+            }
+        }
+    }
 }
