--- a/src/main/java/gaugegw/proxy/config/ProxyConfig.java
+++ b/src/main/java/gaugegw/proxy/config/ProxyConfig.java
@@ -4,6 +4,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import gaugegw.balancer.api.BalancerSettings;
 import gaugegw.settings.SettingsReader;
+import gaugegw.settings.SettingsTree;
 import io.netty.util.NetUtil;
 import java.io.IOException;
 import java.io.InputStream;
@@ -12,8 +13,6 @@
 import java.net.UnknownHostException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.HashMap;
-import java.util.Map;
 
 /**
  * What a proxy is told at its start.
@@ -68,8 +67,9 @@
         if (!settings.isObject()) {
             throw new InvalidConfigException("'settings': an object is wanted");
         }
-        var values = new HashMap<String, String>();
-        flatten("", settings, values);
+        var builder = SettingsTree.builder();
+        flatten("", settings, builder);
+        SettingsTree tree = builder.build();
         try {
             return new ProxyConfig(
                     text(json, "name"),
@@ -77,21 +77,21 @@
                     address(json, "discovery"),
                     sockets(json),
                     json.path("known").isObject() ? json.path("known") : null,
-                    SettingsReader.read(values, seed(json)),
-                    SettingsReader.whole(values, "bounds.conn_idle_us"),
-                    SettingsReader.whole(values, "bounds.connect_timeout_us"));
+                    SettingsReader.read(tree, seed(json)),
+                    SettingsReader.connectionIdleTimeoutUs(tree),
+                    SettingsReader.connectTimeoutUs(tree));
         } catch (IllegalArgumentException e) {
             throw new InvalidConfigException("'settings': " + e.getMessage());
         }
     }
 
     /** Spells nested JSON out as paths, as the simulator's wire has them. */
-    private static void flatten(String path, JsonNode node, Map<String, String> values) {
+    private static void flatten(String path, JsonNode node, SettingsTree.Builder values) {
         if (node.isObject()) {
             node.properties()
                     .forEach(e -> flatten(path.isEmpty() ? e.getKey() : path + "." + e.getKey(), e.getValue(), values));
         } else if (node.isArray()) {
-            values.put(path + ".count", Integer.toString(node.size()));
+            values.putCount(path, node.size());
             for (int i = 0; i < node.size(); i++) {
                 flatten(path + "." + i, node.get(i), values);
             }
--- /dev/null
+++ b/src/main/java/gaugegw/settings/InvalidSettingException.java
@@ -0,0 +1,48 @@
+package gaugegw.settings;
+
+import java.util.Optional;
+
+/** A setting that is missing or has a value that cannot be used. The message is for operators and names the setting. */
+public final class InvalidSettingException extends IllegalArgumentException {
+    private static final long serialVersionUID = 1L;
+
+    private final String path;
+    private final String value;
+    private final String expected;
+
+    private InvalidSettingException(String message, String path, String value, String expected) {
+        super(message);
+        this.path = path;
+        this.value = value;
+        this.expected = expected;
+    }
+
+    static InvalidSettingException missing(String path, String expected) {
+        return new InvalidSettingException("missing setting '" + path + "'", path, null, expected);
+    }
+
+    static InvalidSettingException badNumber(String path, String value, String expected) {
+        return new InvalidSettingException(
+                "bad number '" + value + "' in setting '" + path + "'", path, value, expected);
+    }
+
+    static InvalidSettingException unknownValue(String path, String value, String expected) {
+        return new InvalidSettingException(
+                "unknown value '" + value + "' in setting '" + path + "'", path, value, expected);
+    }
+
+    /** Returns the path of the setting, such as {@code bounds.cancel}. */
+    public String path() {
+        return path;
+    }
+
+    /** Returns the value found, empty if the setting is missing. */
+    public Optional<String> value() {
+        return Optional.ofNullable(value);
+    }
+
+    /** Returns what the setting must be, such as "a whole number". */
+    public String expected() {
+        return expected;
+    }
+}
--- a/src/main/java/gaugegw/settings/SettingsReader.java
+++ b/src/main/java/gaugegw/settings/SettingsReader.java
@@ -7,144 +7,110 @@
 import gaugegw.balancer.api.RequestClass;
 import gaugegw.balancer.api.SafetyLimits;
 import gaugegw.balancer.api.Tenant;
-import java.util.ArrayList;
+import java.util.List;
 import java.util.Map;
 
 /**
- * Reads the settings of an instance from their paths, such as {@code profiles.0.aim_us}. The simulator's wire spells
- * them out on a line and a real proxy's configuration nests them in JSON; the names and what they mean are the same,
- * and are told here once for both.
+ * Reads the settings of a load balancer from the names and values that deployments use. These are the same on the
+ * simulator's wire and in a proxy's configuration, and are mapped here once for both.
+ *
+ * <p>All methods throw {@link InvalidSettingException} for a setting that is missing or has a value of the wrong type,
+ * and another {@link IllegalArgumentException} for a value outside its range; either message names the setting.
  */
 public final class SettingsReader {
-    private static final Map<String, Idempotency> EFFECTS = Map.of(
+    private static final Map<String, Idempotency> IDEMPOTENCY = Map.of(
             "idempotent", Idempotency.IDEMPOTENT,
             "deduplicated", Idempotency.IDEMPOTENT_WITH_KEY,
             "at_most_once", Idempotency.NOT_IDEMPOTENT);
-    private static final Map<String, DeduplicationScope> SCOPES = Map.of(
+
+    private static final Map<String, DeduplicationScope> DEDUPLICATION_SCOPES = Map.of(
             "all", DeduplicationScope.ALL,
             "zone", DeduplicationScope.ZONE,
             "cell", DeduplicationScope.CELL);
-    private static final Map<String, Boolean> MODES = Map.of("pushed", false, "on_request", true);
-    private static final Map<String, Boolean> FLAGS = Map.of("true", true, "1", true, "false", false, "0", false);
 
-    private final Map<String, String> values;
+    /** Whether the endpoint list has to be polled, by the mode of discovery. */
+    private static final Map<String, Boolean> DISCOVERY_MODES = Map.of("pushed", false, "on_request", true);
 
-    private SettingsReader(Map<String, String> values) {
-        this.values = values;
-    }
+    private SettingsReader() {}
 
     /**
-     * Reads the settings.
+     * Reads the settings of a load balancer.
      *
-     * @param values the settings by their paths; a list has its length under {@code .count}
-     * @param seed the seed of the instance's random numbers
-     * @throws IllegalArgumentException if a setting is missing or makes no sense; the message names it
+     * @param seed the seed of its random numbers
      */
-    public static BalancerSettings read(Map<String, String> values, long seed) {
-        return new SettingsReader(values).settings(seed);
-    }
-
-    /**
-     * Reads one whole number.
-     *
-     * @throws IllegalArgumentException if it is missing or no whole number; the message names it
-     */
-    public static long whole(Map<String, String> values, String path) {
-        return new SettingsReader(values).whole(path);
-    }
-
-    private BalancerSettings settings(long seed) {
-        var classes = new ArrayList<RequestClass>();
-        for (int i = 0; i < whole("profiles.count"); i++) {
-            String path = "profiles." + i + ".";
-            var effect = word(path + "effect", EFFECTS);
-            boolean keyed = effect == Idempotency.IDEMPOTENT_WITH_KEY;
-            classes.add(new RequestClass(
-                    text(path + "name"),
-                    whole(path + "aim_us"),
-                    whole(path + "deadline_us"),
-                    number(path + "value"),
-                    number(path + "late_worth"),
-                    effect,
-                    keyed ? word(path + "key_scope", SCOPES) : DeduplicationScope.ALL,
-                    keyed ? whole(path + "window_us") : 0));
-        }
-        var tenants = new ArrayList<Tenant>();
-        int tenantCount = has("projects.count") ? (int) whole("projects.count") : 0;
-        for (int i = 0; i < tenantCount; i++) {
-            String path = "projects." + i + ".";
-            tenants.add(new Tenant(text(path + "name"), number(path + "allowance_per_s")));
-        }
-        var limits = new Limits(
-                flag("bounds.cancel"),
-                flag("bounds.may_duplicate"),
-                flag("bounds.probes"),
-                word("registry_mode", MODES),
-                (int) whole("bounds.most_tries"),
-                has("bounds.retry_after") && !flag("bounds.retry_after") ? 0 : whole("bounds.max_retry_after_us"),
-                whole("bounds.connect_timeout_us"));
-        var rules = new SafetyLimits(
-                number("invariants.cold_from"),
-                whole("invariants.cold_us"),
-                number("invariants.fall_multiple"),
-                whole("invariants.fall_us"),
-                whole("invariants.must_ask_in_us"),
-                has("invariants.full_unproven") && flag("invariants.full_unproven"));
+    public static BalancerSettings read(SettingsTree settings, long seed) {
+        List<RequestClass> requestClasses = settings.items(SettingNames.REQUEST_CLASSES, SettingsReader::requestClass);
+        List<Tenant> tenants = settings.itemsIfPresent(SettingNames.TENANTS, SettingsReader::tenant);
+        Limits limits = limits(settings);
+        SafetyLimits safetyLimits = safetyLimits(settings);
         return new BalancerSettings(
-                (int) whole("balancers"),
-                (int) whole("rank"),
-                text("locality"),
-                whole("quantum_us"),
-                classes,
+                settings.intValue(SettingNames.PROXY_COUNT),
+                settings.intValue(SettingNames.PROXY_INDEX),
+                settings.text(SettingNames.ZONE),
+                settings.longValue(SettingNames.MIN_EVENT_INTERVAL_US),
+                requestClasses,
                 tenants,
-                tenantCount > 0 ? number("over_share_worth") : 1,
-                has("extra.warm_keys") && flag("extra.warm_keys"),
+                tenants.isEmpty() ? 1 : settings.doubleValue(SettingNames.OVER_QUOTA_WEIGHT_FRACTION),
+                settings.booleanValueOr(SettingNames.CACHE_AFFINITY, false),
                 limits,
-                rules,
+                safetyLimits,
                 seed);
     }
 
-    private boolean has(String path) {
-        return values.containsKey(path);
+    /** Reads after how long without a request an endpoint closes a connection, in microseconds. */
+    public static long connectionIdleTimeoutUs(SettingsTree settings) {
+        return settings.longValue(SettingNames.CONNECTION_IDLE_TIMEOUT_US);
+    }
+
+    /** Reads how long a connection may take to come up, in microseconds. */
+    public static long connectTimeoutUs(SettingsTree settings) {
+        return settings.longValue(SettingNames.CONNECT_TIMEOUT_US);
     }
 
-    private String text(String path) {
-        String value = values.get(path);
-        if (value == null || value.isEmpty()) {
-            throw new IllegalArgumentException("missing setting '" + path + "'");
-        }
-        return value;
+    private static RequestClass requestClass(SettingsTree item) {
+        Idempotency idempotency = item.oneOf(SettingNames.IDEMPOTENCY, IDEMPOTENCY);
+        boolean deduplicated = idempotency == Idempotency.IDEMPOTENT_WITH_KEY;
+        return new RequestClass(
+                item.text(SettingNames.CLASS_NAME),
+                item.longValue(SettingNames.LATENCY_OBJECTIVE_US),
+                item.longValue(SettingNames.DEADLINE_US),
+                item.doubleValue(SettingNames.PRIORITY_WEIGHT),
+                item.doubleValue(SettingNames.LATE_WEIGHT_FRACTION),
+                idempotency,
+                deduplicated
+                        ? item.oneOf(SettingNames.DEDUPLICATION_SCOPE, DEDUPLICATION_SCOPES)
+                        : DeduplicationScope.ALL,
+                deduplicated ? item.longValue(SettingNames.DEDUPLICATION_WINDOW_US) : 0);
     }
 
-    private long whole(String path) {
-        double value = number(path);
-        if (value != Math.rint(value)) {
-            throw new IllegalArgumentException("bad number '" + text(path) + "' in setting '" + path + "'");
-        }
-        return (long) value;
+    private static Tenant tenant(SettingsTree item) {
+        return new Tenant(item.text(SettingNames.TENANT_NAME), item.doubleValue(SettingNames.QUOTA_PER_SECOND));
     }
 
-    private double number(String path) {
-        try {
-            double value = Double.parseDouble(text(path));
-            if (Double.isFinite(value)) {
-                return value;
-            }
-        } catch (NumberFormatException e) {
-            // told below
-        }
-        throw new IllegalArgumentException("bad number '" + text(path) + "' in setting '" + path + "'");
+    private static Limits limits(SettingsTree settings) {
+        return new Limits(
+                settings.booleanValue(SettingNames.CANCELLATION),
+                settings.booleanValue(SettingNames.HEDGING),
+                settings.booleanValue(SettingNames.HEALTH_CHECKS),
+                settings.oneOf(SettingNames.DISCOVERY_MODE, DISCOVERY_MODES),
+                settings.intValue(SettingNames.MAX_ATTEMPTS),
+                maxRetryAfterUs(settings),
+                settings.longValue(SettingNames.CONNECT_TIMEOUT_US));
     }
 
-    private boolean flag(String path) {
-        return word(path, FLAGS);
+    /** Returns 0 where a rejection may not carry Retry-After. */
+    private static long maxRetryAfterUs(SettingsTree settings) {
+        boolean allowed = settings.booleanValueOr(SettingNames.RETRY_AFTER, true);
+        return allowed ? settings.longValue(SettingNames.MAX_RETRY_AFTER_US) : 0;
     }
 
-    private <T> T word(String path, Map<String, T> words) {
-        T meaning = words.get(text(path));
-        if (meaning == null) {
-            throw new IllegalArgumentException("unknown value '" + text(path) + "' in setting '" + path + "'");
-        }
-        return meaning;
+    private static SafetyLimits safetyLimits(SettingsTree settings) {
+        return new SafetyLimits(
+                settings.doubleValue(SettingNames.INITIAL_CAPACITY),
+                settings.longValue(SettingNames.SLOW_START_US),
+                settings.doubleValue(SettingNames.OVERLOAD_MULTIPLE),
+                settings.longValue(SettingNames.OVERLOAD_WINDOW_US),
+                settings.longValue(SettingNames.POLL_INTERVAL_US),
+                settings.booleanValueOr(SettingNames.REJECTED_MAY_HAVE_EXECUTED, false));
     }
 }
--- a/src/main/java/gaugegw/simulator/MessageCodec.java
+++ b/src/main/java/gaugegw/simulator/MessageCodec.java
@@ -8,7 +8,7 @@
 import gaugegw.balancer.api.Event;
 import gaugegw.balancer.api.UpdateKind;
 import gaugegw.settings.SettingsReader;
-import java.util.HashMap;
+import gaugegw.settings.SettingsTree;
 import java.util.Map;
 
 /** Translates between the lines of the wire and the events and actions of {@link LoadBalancer}. */
@@ -36,11 +36,11 @@
 
     /** Reads the settings of an {@code up} line. */
     static BalancerSettings settings(MessageFields up) {
-        var values = new HashMap<String, String>();
+        var values = SettingsTree.builder();
         for (int i = 0; i < up.size(); i++) {
             values.put(up.key(i), up.value(i));
         }
-        return SettingsReader.read(values, up.whole("prng"));
+        return SettingsReader.read(values.build(), up.whole("prng"));
     }
 
     /** Reads an event that fits on one line, or returns null for one that the module has no use for. */
