--- a/src/main/java/gaugegw/simulator/SimulatorHost.java
+++ b/src/main/java/gaugegw/simulator/SimulatorHost.java
@@ -7,13 +7,10 @@
 import gaugegw.balancer.api.Event;
 import gaugegw.balancer.api.LoadBalancer;
 import gaugegw.balancer.api.UpdateKind;
-import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStream;
-import java.io.InputStreamReader;
 import java.io.OutputStream;
 import java.io.PrintStream;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -21,145 +18,149 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** Reads batches of events, gives each to its instance, and writes the reply. Instances share nothing. */
+/**
+ * Reads batches of events, gives each event to its instance and writes one reply per batch. Instances share no state.
+ * A host runs once, on the thread that calls {@link #run}.
+ */
 final class SimulatorHost {
+    /** Bounds what is allocated before the endpoints of an update are read, whatever count the message claims. */
+    private static final int MAX_INITIAL_ENDPOINTS = 1024;
+
+    private static final int EXIT_OK = 0;
+    private static final int EXIT_MALFORMED_INPUT = 1;
+
     private final Function<BalancerSettings, LoadBalancer> factory;
     private final Map<Integer, Instance> instances = new HashMap<>();
-    private final MessageFields fields = new MessageFields();
-    private final StringBuilder reply = new StringBuilder(1 << 12);
-    private BufferedReader reader;
-    private long lineNumber;
+    private final MessageFields message = new MessageFields();
+    private final ActionEncoder reply = new ActionEncoder();
 
     SimulatorHost() {
         this(EarliestDeadlineLoadBalancer::new);
     }
 
+    /**
+     * Creates a host.
+     *
+     * @param factory creates the load balancer of each instance that starts
+     */
     SimulatorHost(Function<BalancerSettings, LoadBalancer> factory) {
         this.factory = factory;
     }
 
-    /** Runs until the input ends; returns the exit code. */
+    /**
+     * Runs until the input ends. A failure of a load balancer is reported to the simulator; malformed input is reported
+     * in one line and ends the run. The streams are the caller's and stay open.
+     *
+     * @param in the batches
+     * @param out receives each reply whole, and is flushed after it
+     * @param errors receives what is wrong with malformed input
+     * @return the exit code of the process: 0, or 1 after malformed input
+     * @throws IOException if a stream fails
+     */
     int run(InputStream in, OutputStream out, PrintStream errors) throws IOException {
-        reader = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
+        var lines = new NumberedLines(in);
         try {
-            for (String line = next(); line != null; line = next()) {
-                if (!line.isEmpty()) {
-                    batch(line);
-                    reply.append("ok\n");
-                    out.write(reply.toString().getBytes(StandardCharsets.UTF_8));
+            while (lines.next()) {
+                if (!lines.line().isEmpty()) {
+                    handleBatch(lines);
+                    out.write(reply.finishReply());
                     out.flush();
-                    reply.setLength(0);
                 }
             }
-            return 0;
+            return EXIT_OK;
         } catch (MalformedMessageException e) {
-            errors.println("line " + lineNumber + ": " + e.getMessage());
-            return 1;
+            errors.println(e.getMessage());
+            return EXIT_MALFORMED_INPUT;
         }
     }
 
-    private String next() throws IOException {
-        lineNumber++;
-        return reader.readLine();
-    }
-
-    private String nextInBatch() throws IOException {
-        String line = next();
-        if (line == null) {
-            throw new MalformedMessageException("input ends inside a batch");
+    /** Handles a batch whose opening line is the current one. */
+    private void handleBatch(NumberedLines lines) throws IOException {
+        message.read(lines.line(), lines.number());
+        if (!message.name().equals(WireNames.BATCH)) {
+            throw MalformedMessageException.unexpectedMessage(message, WireNames.BATCH);
+        }
+        long nowUs = message.longValue(WireNames.CLOCK_US);
+        nextInBatch(lines);
+        while (!lines.line().equals(WireNames.BATCH_END)) {
+            if (!lines.line().isEmpty()) {
+                message.read(lines.line(), lines.number());
+                handleMessage(nowUs, message.name(), lines);
+            }
+            nextInBatch(lines);
         }
-        return line;
     }
 
-    private void batch(String first) throws IOException {
-        fields.read(first);
-        if (!fields.name().equals("batch")) {
-            throw new MalformedMessageException("expected 'batch', found '" + fields.name() + "'");
-        }
-        long now = fields.whole("wall_us");
-        for (String line = nextInBatch(); !line.equals("commit"); line = nextInBatch()) {
-            if (!line.isEmpty()) {
-                fields.read(line);
-                event(now, fields.name());
-            }
+    private static void nextInBatch(NumberedLines lines) throws IOException {
+        if (!lines.next()) {
+            throw MalformedMessageException.of(lines.number(), "input ends inside a batch");
         }
     }
 
-    private void event(long now, String name) throws IOException {
-        int who = fields.small("who");
-        if (name.equals("up")) {
-            up(who);
+    private void handleMessage(long nowUs, String name, NumberedLines lines) throws IOException {
+        int id = message.nonNegativeInt(WireNames.INSTANCE);
+        if (name.equals(WireNames.INSTANCE_STARTED)) {
+            start(id);
             return;
         }
-        Instance instance = instances.get(who);
+        Instance instance = instances.get(id);
         if (instance == null) {
-            throw new MalformedMessageException("'" + name + "' for instance " + who + ", which is not up");
-        }
-        if (name.equals("detach")) {
-            instances.remove(who);
-            return;
+            throw MalformedMessageException.of(
+                    message.lineNumber(), "'" + name + "' for instance " + id + ", which is not up");
         }
-        Event event = name.equals("update") ? members() : MessageCodec.event(name, fields);
-        if (event != null) {
-            try {
-                instance.balancer.handle(now, event, instance);
-            } catch (RuntimeException e) {
-                panic(who, e);
+        switch (name) {
+            case WireNames.INSTANCE_KILLED -> instances.remove(id);
+            case WireNames.GOSSIP_RECEIVED -> {
+                // The load balancer uses no gossip.
             }
+            case WireNames.ENDPOINT_UPDATE -> instance.handle(nowUs, readEndpointUpdate(lines));
+            default -> instance.handle(nowUs, EventDecoder.event(name, message));
         }
     }
 
-    private void up(int who) {
-        BalancerSettings settings;
+    private void start(int id) {
+        BalancerSettings settings = EventDecoder.settings(message);
         try {
-            settings = MessageCodec.settings(fields);
-        } catch (IllegalArgumentException e) {
-            throw new MalformedMessageException("up: " + e.getMessage());
-        }
-        try {
-            instances.put(who, new Instance(who, factory.apply(settings)));
+            instances.put(id, new Instance(id, factory.apply(settings)));
         } catch (RuntimeException e) {
-            panic(who, e);
+            reply.failure(id, e);
         }
     }
 
-    private Event.EndpointUpdate members() throws IOException {
-        UpdateKind kind = MessageCodec.listKind(fields);
-        int count = fields.optional("nodes_list") == null ? 0 : fields.small("nodes_list");
-        List<Endpoint> backends = new ArrayList<>(Math.min(count, 1024));
+    /** Reads an endpoint update: the current line, and as many endpoint lines as it says. */
+    private Event readEndpointUpdate(NumberedLines lines) throws IOException {
+        UpdateKind kind = EventDecoder.updateKind(message);
+        int count = EventDecoder.entryCount(message);
+        List<Endpoint> endpoints = new ArrayList<>(Math.min(count, MAX_INITIAL_ENDPOINTS));
         for (int i = 0; i < count; i++) {
-            fields.read(nextInBatch());
-            try {
-                backends.add(MessageCodec.backend(fields));
-            } catch (IllegalArgumentException e) {
-                throw new MalformedMessageException("entry: " + e.getMessage());
-            }
-        }
-        return new Event.EndpointUpdate(kind, backends);
-    }
-
-    private void panic(int who, RuntimeException e) {
-        StackTraceElement[] trace = e.getStackTrace();
-        MessageCodec.head(reply, "panic", who).append(" message=").append(MessageCodec.oneLine(String.valueOf(e)));
-        if (trace.length > 0) {
-            reply.append(" at ").append(trace[0]);
+            nextInBatch(lines);
+            message.read(lines.line(), lines.number());
+            endpoints.add(EventDecoder.endpoint(message));
         }
-        reply.append('\n');
+        return new Event.EndpointUpdate(kind, endpoints);
     }
 
-    /** One proxy's module, writing its actions to the reply under its number. */
+    /** The load balancer of one simulated proxy; its actions are added to the reply under the proxy's number. */
     private final class Instance implements Consumer<Action> {
-        private final int who;
+        private final int id;
         private final LoadBalancer balancer;
 
-        Instance(int who, LoadBalancer balancer) {
-            this.who = who;
+        Instance(int id, LoadBalancer balancer) {
+            this.id = id;
             this.balancer = balancer;
         }
 
+        void handle(long nowUs, Event event) {
+            try {
+                balancer.handle(nowUs, event, this);
+            } catch (RuntimeException e) {
+                reply.failure(id, e);
+            }
+        }
+
         @Override
         public void accept(Action action) {
-            MessageCodec.write(reply, who, action);
+            reply.action(id, action);
         }
     }
 }
