--- a/src/test/java/gaugegw/balancer/EndpointChurnTest.java
+++ b/src/test/java/gaugegw/balancer/EndpointChurnTest.java
@@ -34,7 +34,7 @@
             }
             proxy.nowUs += SECONDS;
         }
-        assertThat(proxy.balancer.remembered()).isLessThan(10);
+        assertThat(proxy.balancer.trackedStateSize()).isLessThan(10);
     }
 
     /** A process that starts anew under its id is not held to what was seen of the last one. */
