--- a/src/test/java/gaugegw/balancer/LoadBalancerApiTest.java
+++ b/src/test/java/gaugegw/balancer/LoadBalancerApiTest.java
@@ -1,70 +1,78 @@
 package gaugegw.balancer;
 
+import static gaugegw.balancer.testing.TestEndpoints.endpointBuilder;
+import static gaugegw.balancer.testing.TestSettings.READ;
+import static gaugegw.balancer.testing.TestSettings.readOnlySettings;
+import static gaugegw.balancer.testing.TestSettings.safetyLimits;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import gaugegw.balancer.api.Action;
 import gaugegw.balancer.api.AttemptOutcome;
-import gaugegw.balancer.api.BalancerSettings;
-import gaugegw.balancer.api.DeduplicationScope;
 import gaugegw.balancer.api.Endpoint;
-import gaugegw.balancer.api.EndpointState;
 import gaugegw.balancer.api.Event;
-import gaugegw.balancer.api.Idempotency;
-import gaugegw.balancer.api.Limits;
-import gaugegw.balancer.api.RequestClass;
-import gaugegw.balancer.api.SafetyLimits;
 import gaugegw.balancer.api.UpdateKind;
+import gaugegw.balancer.testing.BalancerSettingsBuilder;
+import gaugegw.balancer.testing.SafetyLimitsBuilder;
 import java.util.ArrayList;
 import java.util.List;
+import org.assertj.core.api.ThrowableAssert.ThrowingCallable;
 import org.junit.jupiter.api.Test;
 
-/** The embedding example of the README, and what a proxy is told when it gets its settings wrong. */
+/** The load balancer as a program embeds it, and the errors for wrong settings and events. */
 class LoadBalancerApiTest {
-    private static final RequestClass READ =
-            new RequestClass("read", 600_000, 2_000_000, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0);
-    private static final Limits LIMITS = new Limits(true, false, false, false, 4, 0, 0);
-    private static final SafetyLimits RULES = new SafetyLimits(0.4, 8_000_000, 4, 1_000_000, 10_000_000, false);
-
     @Test
-    void theExampleOfTheReadmeRuns() {
-        var carriedOut = new ArrayList<Action>();
-        var policy = new EarliestDeadlineLoadBalancer(
-                new BalancerSettings(3, 0, "zone-a", 1_000, List.of(READ), List.of(), 1, false, LIMITS, RULES, 42));
-        var backend = new Endpoint("10.0.0.1:80", EndpointState.READY, "std", "zone-a", 0, 0, 1);
-        policy.handle(1_000, new Event.EndpointUpdate(UpdateKind.SNAPSHOT, List.of(backend)), carriedOut::add);
-        policy.handle(2_000, new Event.RequestArrived("r1", "read", null, null, 2_000_000, false), carriedOut::add);
-        assertThat(carriedOut).containsExactly(new Action.StartAttempt("r1", "10.0.0.1:80", 1_200_000));
-        policy.handle(
+    void embeddedLoadBalancerForwardsARequest() {
+        var actions = new ArrayList<Action>();
+        var balancer = new EarliestDeadlineLoadBalancer(readOnlySettings()
+                .proxy(0, 3)
+                .zone("zone-a")
+                .minEventIntervalUs(1_000)
+                .seed(42)
+                .build());
+        Endpoint endpoint =
+                endpointBuilder("10.0.0.1:80").zone("zone-a").cell(0).build();
+        balancer.handle(1_000, new Event.EndpointUpdate(UpdateKind.SNAPSHOT, List.of(endpoint)), actions::add);
+        balancer.handle(2_000, new Event.RequestArrived("r1", "read", null, null, 2_000_000, false), actions::add);
+        assertThat(actions).containsExactly(new Action.StartAttempt("r1", "10.0.0.1:80", 1_200_000));
+        balancer.handle(
                 20_500,
                 new Event.AttemptEnded("r1", 0, "10.0.0.1:80", AttemptOutcome.SUCCESS, 18_500, true),
-                carriedOut::add);
-        assertThat(carriedOut).hasSize(1);
+                actions::add);
+        assertThat(actions).hasSize(1);
     }
 
     @Test
-    void wrongSettingsAreNamed() {
-        assertThatThrownBy(
-                        () -> new BalancerSettings(0, 0, "a", 1, List.of(READ), List.of(), 1, false, LIMITS, RULES, 1))
-                .isInstanceOf(IllegalArgumentException.class)
-                .hasMessage("invalid setting: balancers");
-        assertThatThrownBy(() -> new BalancerSettings(1, 0, "a", 1, List.of(), List.of(), 1, false, LIMITS, RULES, 1))
-                .isInstanceOf(IllegalArgumentException.class)
-                .hasMessage("invalid setting: classes");
-        assertThatThrownBy(() -> new BalancerSettings(1, 0, "a", 1, List.of(READ), List.of(), 1, false, null, RULES, 1))
-                .isInstanceOf(IllegalArgumentException.class)
-                .hasMessage("invalid setting: limits");
-        assertThatThrownBy(() -> new SafetyLimits(0, 1, 1, 1, 1, false))
+    void invalidSettingsAreNamed() {
+        assertInvalidSetting(() -> minimalSettings().proxy(0, 0).build(), "balancers");
+        assertInvalidSetting(() -> minimalSettings().requestClasses(List.of()).build(), "classes");
+        assertInvalidSetting(() -> minimalSettings().limits(null).build(), "limits");
+        assertInvalidSetting(() -> minimalSafetyLimits().initialCapacity(0).build(), "cold from");
+    }
+
+    private static void assertInvalidSetting(ThrowingCallable build, String setting) {
+        assertThatThrownBy(build)
                 .isInstanceOf(IllegalArgumentException.class)
-                .hasMessage("invalid setting: cold from");
+                .hasMessage("invalid setting: " + setting);
+    }
+
+    private static BalancerSettingsBuilder minimalSettings() {
+        return readOnlySettings().minEventIntervalUs(1).requestClasses(READ);
+    }
+
+    private static SafetyLimitsBuilder minimalSafetyLimits() {
+        return safetyLimits()
+                .slowStartUs(1)
+                .overloadMultiple(1)
+                .overloadWindowUs(1)
+                .pollIntervalUs(1);
     }
 
     @Test
-    void aRequestOfAnUnknownClassIsAnError() {
-        var policy = new EarliestDeadlineLoadBalancer(
-                new BalancerSettings(1, 0, "a", 1, List.of(READ), List.of(), 1, false, LIMITS, RULES, 1));
+    void requestOfAnUnknownClassIsAnError() {
+        var balancer = new EarliestDeadlineLoadBalancer(minimalSettings().build());
         assertThatThrownBy(() ->
-                        policy.handle(1, new Event.RequestArrived("r1", "write", null, null, 1, false), action -> {}))
+                        balancer.handle(1, new Event.RequestArrived("r1", "write", null, null, 1, false), action -> {}))
                 .isInstanceOf(IllegalArgumentException.class)
                 .hasMessageContaining("write");
     }
--- /dev/null
+++ b/src/test/java/gaugegw/balancer/SlowStartFleet.java
@@ -0,0 +1,238 @@
+package gaugegw.balancer;
+
+import static gaugegw.balancer.testing.TestEndpoints.endpoint;
+import static gaugegw.balancer.testing.TestEndpoints.endpointInState;
+import static gaugegw.balancer.testing.TestEndpoints.endpointStartedAt;
+import static gaugegw.balancer.testing.TestSettings.MILLIS;
+import static gaugegw.balancer.testing.TestSettings.READ;
+import static gaugegw.balancer.testing.TestSettings.SECONDS;
+import static gaugegw.balancer.testing.TestSettings.readOnlySettings;
+import static gaugegw.balancer.testing.TestSettings.safetyLimits;
+
+import gaugegw.balancer.api.Action;
+import gaugegw.balancer.api.Action.SetTimer;
+import gaugegw.balancer.api.Action.StartAttempt;
+import gaugegw.balancer.api.AttemptOutcome;
+import gaugegw.balancer.api.Endpoint;
+import gaugegw.balancer.api.EndpointState;
+import gaugegw.balancer.api.Event;
+import gaugegw.balancer.api.Event.AttemptEnded;
+import gaugegw.balancer.api.Event.EndpointUpdate;
+import gaugegw.balancer.api.Event.RequestArrived;
+import gaugegw.balancer.api.Event.TimerFired;
+import gaugegw.balancer.api.SafetyLimits;
+import gaugegw.balancer.api.UpdateKind;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.Random;
+
+/**
+ * A fleet of proxies that share endpoints on one simulated clock. At 30 s some endpoints restart and as many join; at
+ * 44 s a burst begins, which lasts until slow start is over. Traffic is uneven: one proxy in five gets eight times as
+ * much as each of the others. It may be low before the burst, so that a budget that piled up unused would show.
+ */
+final class SlowStartFleet {
+    private static final SafetyLimits SAFETY_LIMITS =
+            safetyLimits().slowStartUs(20 * SECONDS).overloadMultiple(1.5).build();
+
+    /** Mean service time at full capacity, in microseconds. An endpoint serves one request at a time. */
+    private static final long SERVICE_US = 100 * MILLIS;
+
+    /** An endpoint rejects what would wait longer, in microseconds. */
+    private static final long MAX_QUEUEING_US = 10 * SERVICE_US;
+
+    private static final int MIN_ENDPOINTS = 40;
+
+    /** One endpoint in so many restarts under its id, and as many join. */
+    private static final int ENDPOINTS_PER_RESTART = 8;
+
+    private static final long RESTART_AT_US = 30 * SECONDS;
+    private static final long BURST_AT_US = 44 * SECONDS;
+    private static final long END_US = RESTART_AT_US + SAFETY_LIMITS.slowStartUs();
+
+    /** Loads as a part of what all endpoints can serve. */
+    private static final double LOAD_BEFORE_RESTART = 0.5;
+
+    private static final double LOAD_IN_BURST = 1.5;
+
+    private record ScheduledTask(long atUs, long order, Runnable task) {}
+
+    private final Random random;
+    private final int endpointCount;
+    private final List<EarliestDeadlineLoadBalancer> proxies = new ArrayList<>();
+    private final double[] cumulativeTraffic;
+    private final double loadBeforeBurst;
+    private final boolean listChangesEachSecond;
+    private final Map<String, Endpoint> endpoints = new HashMap<>();
+    private final Map<String, Long> freeAtUs = new HashMap<>();
+    private final Map<String, List<Long>> slowStartAttempts = new HashMap<>();
+    private final Map<String, Integer> attemptCounts = new HashMap<>();
+    private final PriorityQueue<ScheduledTask> schedule =
+            new PriorityQueue<>(Comparator.comparingLong(ScheduledTask::atUs).thenComparingLong(ScheduledTask::order));
+    private long nowUs;
+    private long nextOrder;
+    private double worstBoundUse;
+
+    SlowStartFleet(int proxyCount, long seed, double loadBeforeBurst, boolean listChangesEachSecond) {
+        this.random = new Random(seed);
+        this.endpointCount = Math.max(MIN_ENDPOINTS, proxyCount / 2);
+        this.loadBeforeBurst = loadBeforeBurst;
+        this.listChangesEachSecond = listChangesEachSecond;
+        cumulativeTraffic = new double[proxyCount];
+        double sum = 0;
+        for (int index = 0; index < proxyCount; index++) {
+            proxies.add(new EarliestDeadlineLoadBalancer(readOnlySettings()
+                    .proxy(index, proxyCount)
+                    .safetyLimits(SAFETY_LIMITS)
+                    .seed(random.nextLong())
+                    .build()));
+            sum += index % 5 == 0 ? 4 : 0.5;
+            cumulativeTraffic[index] = sum;
+        }
+    }
+
+    void run() {
+        for (int i = 0; i < endpointCount; i++) {
+            endpoints.put("s" + i, endpoint("s" + i));
+        }
+        schedule(0, () -> publish(UpdateKind.SNAPSHOT, List.copyOf(endpoints.values())));
+        schedule(RESTART_AT_US, this::restartEndpoints);
+        schedule(MILLIS, this::submitRequest);
+        if (listChangesEachSecond) {
+            schedule(SECONDS, this::changeEndpointList);
+        }
+        while (!schedule.isEmpty() && schedule.peek().atUs() < END_US) {
+            ScheduledTask next = schedule.poll();
+            nowUs = next.atUs();
+            next.task().run();
+        }
+    }
+
+    private void schedule(long atUs, Runnable task) {
+        schedule.add(new ScheduledTask(atUs, nextOrder++, task));
+    }
+
+    private void publish(UpdateKind kind, List<Endpoint> entries) {
+        for (int index = 0; index < proxies.size(); index++) {
+            handle(index, new EndpointUpdate(kind, entries));
+        }
+    }
+
+    private void restartEndpoints() {
+        var changes = new ArrayList<Endpoint>();
+        for (int i = 0; i < endpointCount / ENDPOINTS_PER_RESTART; i++) {
+            changes.add(endpointStartedAt("s" + i, nowUs));
+            changes.add(endpointStartedAt("new" + i, nowUs));
+        }
+        changes.forEach(endpoint -> endpoints.put(endpoint.id(), endpoint));
+        publish(UpdateKind.DELTA, changes);
+    }
+
+    private void changeEndpointList() {
+        publish(UpdateKind.DELTA, List.of(endpointInState("other" + nowUs / SECONDS, EndpointState.GONE)));
+        schedule(nowUs + SECONDS, this::changeEndpointList);
+    }
+
+    private void submitRequest() {
+        double point = random.nextDouble() * cumulativeTraffic[proxies.size() - 1];
+        int index = -1 - Arrays.binarySearch(cumulativeTraffic, point);
+        handle(index, new RequestArrived("r" + nextOrder++, "read", null, null, READ.deadlineUs(), false));
+        double meanIntervalUs = SERVICE_US / (load() * endpointCount);
+        long intervalUs = (long) (-meanIntervalUs * Math.log(1 - random.nextDouble()));
+        schedule(nowUs + 1 + intervalUs, this::submitRequest);
+    }
+
+    private double load() {
+        if (nowUs < RESTART_AT_US) {
+            return LOAD_BEFORE_RESTART;
+        }
+        return nowUs < BURST_AT_US ? loadBeforeBurst : LOAD_IN_BURST;
+    }
+
+    private void handle(int index, Event event) {
+        var actions = new ArrayList<Action>();
+        proxies.get(index).handle(nowUs, event, actions::add);
+        for (Action action : actions) {
+            if (action instanceof SetTimer timer) {
+                schedule(Math.max(nowUs, timer.atUs()), () -> handle(index, new TimerFired(timer.token())));
+            } else if (action instanceof StartAttempt start) {
+                serve(index, start);
+            }
+        }
+    }
+
+    /** Lets an endpoint serve one request after the other, and reject what would wait too long. */
+    private void serve(int index, StartAttempt start) {
+        Endpoint endpoint = endpoints.get(start.endpointId());
+        recordSlowStartAttempt(endpoint);
+        int attempt = attemptCounts.merge(start.requestId(), 1, Integer::sum) - 1;
+        long beginAtUs = Math.max(nowUs, freeAtUs.getOrDefault(endpoint.id(), 0L));
+        long serviceUs = (long) (SERVICE_US * (0.5 + random.nextDouble()) / capacity(endpoint));
+        boolean full = beginAtUs - nowUs > MAX_QUEUEING_US;
+        long endAtUs = full ? nowUs + MILLIS : beginAtUs + serviceUs;
+        if (!full) {
+            freeAtUs.put(endpoint.id(), endAtUs);
+        }
+        AttemptOutcome outcome = full ? AttemptOutcome.REJECTED : AttemptOutcome.SUCCESS;
+        if (endAtUs > nowUs + start.timeoutUs()) {
+            outcome = AttemptOutcome.TIMEOUT;
+        }
+        long latencyUs = Math.min(start.timeoutUs(), endAtUs - nowUs);
+        var end = new AttemptEnded(
+                start.requestId(), attempt, endpoint.id(), outcome, latencyUs, outcome == AttemptOutcome.SUCCESS);
+        schedule(nowUs + latencyUs, () -> handle(index, end));
+    }
+
+    /** Returns the capacity of an endpoint now, as a part of its full capacity. */
+    private double capacity(Endpoint endpoint) {
+        return endpoint.startedAtUs() == 0 ? 1 : capacityAfter(nowUs - endpoint.startedAtUs());
+    }
+
+    private static double capacityAfter(long upUs) {
+        return SAFETY_LIMITS.initialCapacity()
+                + (1 - SAFETY_LIMITS.initialCapacity()) * upUs / SAFETY_LIMITS.slowStartUs();
+    }
+
+    /** Returns how many attempts within the overload window an endpoint can take now. */
+    private double budget(Endpoint endpoint) {
+        return SAFETY_LIMITS.overloadMultiple() * capacity(endpoint) * SAFETY_LIMITS.overloadWindowUs() / SERVICE_US;
+    }
+
+    private void recordSlowStartAttempt(Endpoint endpoint) {
+        if (endpoint.startedAtUs() == 0) {
+            return;
+        }
+        List<Long> attemptTimesUs = slowStartAttempts.computeIfAbsent(endpoint.id(), id -> new ArrayList<>());
+        attemptTimesUs.add(nowUs);
+        long inWindow = attemptTimesUs.stream()
+                .filter(timeUs -> timeUs > nowUs - SAFETY_LIMITS.overloadWindowUs())
+                .count();
+        // The proxies' budgets add up by chance: two standard deviations above the budget, and two more, are allowed.
+        double budget = budget(endpoint);
+        worstBoundUse = Math.max(worstBoundUse, inWindow / (budget + 2 * Math.sqrt(budget) + 2));
+    }
+
+    /** Returns the most attempts that an endpoint got within an overload window, as a part of what is allowed. */
+    double worstBoundUse() {
+        return worstBoundUse;
+    }
+
+    /** Returns what the restarted endpoints got during the burst, as a part of their budget halfway through it. */
+    double meanBudgetUse() {
+        long attempts = slowStartAttempts.values().stream()
+                .mapToLong(timesUs ->
+                        timesUs.stream().filter(timeUs -> timeUs >= BURST_AT_US).count())
+                .sum();
+        long halfwayUs = (BURST_AT_US + END_US) / 2;
+        double capacity = capacityAfter(halfwayUs - RESTART_AT_US);
+        int restarted = 2 * (endpointCount / ENDPOINTS_PER_RESTART);
+        return attempts
+                * SERVICE_US
+                / (restarted * SAFETY_LIMITS.overloadMultiple() * capacity * (END_US - BURST_AT_US));
+    }
+}
--- a/src/test/java/gaugegw/simulator/SimulatorHostTest.java
+++ b/src/test/java/gaugegw/simulator/SimulatorHostTest.java
@@ -1,18 +1,18 @@
 package gaugegw.simulator;
 
+import static gaugegw.balancer.testing.TestEndpoints.endpointBuilder;
+import static gaugegw.balancer.testing.TestSettings.limits;
+import static gaugegw.balancer.testing.TestSettings.requestClass;
+import static gaugegw.balancer.testing.TestSettings.safetyLimits;
+import static gaugegw.balancer.testing.TestSettings.settings;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gaugegw.balancer.api.Action;
 import gaugegw.balancer.api.AttemptOutcome;
 import gaugegw.balancer.api.BalancerSettings;
 import gaugegw.balancer.api.DeduplicationScope;
-import gaugegw.balancer.api.Endpoint;
 import gaugegw.balancer.api.EndpointState;
 import gaugegw.balancer.api.Event;
-import gaugegw.balancer.api.Idempotency;
-import gaugegw.balancer.api.Limits;
-import gaugegw.balancer.api.RequestClass;
-import gaugegw.balancer.api.SafetyLimits;
 import gaugegw.balancer.api.Tenant;
 import gaugegw.balancer.api.UpdateKind;
 import java.io.ByteArrayInputStream;
@@ -27,9 +27,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The wire: round trips, several instances, and plain messages about malformed input. */
+/** The wire: every event and action, restarts of an instance, and the errors for malformed input. */
 class SimulatorHostTest {
-    private static final String SETUP =
+    private static final String SETTINGS =
             "balancers=3 rank=2 bounds.cancel=true bounds.may_duplicate=false bounds.most_tries=4 "
                     + "bounds.probes=false bounds.max_retry_after_us=2000000 bounds.connect_timeout_us=150000 registry_mode=on_request locality=skoyen "
                     + "quantum_us=4000 invariants.cold_from=0.4 invariants.cold_us=8100000 invariants.fall_multiple=4.0 "
@@ -38,26 +38,27 @@
                     + "profiles.0.value=10.0 profiles.0.late_worth=0.0 profiles.0.effect=deduplicated "
                     + "profiles.0.key_scope=zone profiles.0.window_us=1200000 projects.count=1 projects.0.name=vest "
                     + "projects.0.allowance_per_s=277.0 extra.warm_keys=true some.new.setting=x";
-    private static final String UP = "up who=3 prng=5192 " + SETUP + "\n";
-    private static final String LIST = "update who=3 form=stale_copy revision=41 nodes_list=1\n"
+    private static final String START = "up who=3 prng=5192 " + SETTINGS + "\n";
+    private static final String ENDPOINT_UPDATE = "update who=3 form=stale_copy revision=41 nodes_list=1\n"
             + "entry stage_state=IN group=2 machine=std-1 zone=ulven last_start_us=7 capacity_hint=1.5 "
             + "backend=10.1.1.1:80 new_key=1\n";
 
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream errors = new ByteArrayOutputStream();
-    private final List<BalancerSettings> settings = new ArrayList<>();
+    private final List<BalancerSettings> settingsRead = new ArrayList<>();
     private final List<Event> events = new ArrayList<>();
     private final List<Action> actions = new ArrayList<>();
 
     private int run(String input) throws IOException {
-        return new SimulatorHost(s -> {
-                    settings.add(s);
-                    return (now, event, sink) -> {
+        return new SimulatorHost(settings -> {
+                    settingsRead.add(settings);
+                    return (nowUs, event, emitted) -> {
                         events.add(event);
-                        if (event instanceof Event.TimerFired t && t.token().equals("boom")) {
+                        if (event instanceof Event.TimerFired timer
+                                && timer.token().equals("boom")) {
                             throw new IllegalStateException("out\nof order");
                         }
-                        actions.forEach(sink);
+                        actions.forEach(emitted);
                     };
                 })
                 .run(
@@ -66,11 +67,11 @@
                         new PrintStream(errors, true, StandardCharsets.UTF_8));
     }
 
-    private String written() {
+    private String output() {
         return out.toString(StandardCharsets.UTF_8);
     }
 
-    private String complaint() {
+    private String error() {
         return errors.toString(StandardCharsets.UTF_8).strip();
     }
 
@@ -79,49 +80,63 @@
     }
 
     @Test
-    void anEmptyBatchIsAnsweredAndTheEndIsClean() throws IOException {
+    void emptyBatchIsAnsweredAndTheEndOfInputIsNoError() throws IOException {
         assertThat(run(batch())).isZero();
-        assertThat(written()).isEqualTo("ok\n");
+        assertThat(output()).isEqualTo("ok\n");
     }
 
     @Test
     void readsSettings() throws IOException {
-        assertThat(run(batch(UP))).isZero();
-        assertThat(settings)
-                .containsExactly(new BalancerSettings(
-                        3,
-                        2,
-                        "skoyen",
-                        4000,
-                        List.of(new RequestClass(
-                                "pay",
-                                400000,
-                                2000000,
-                                10,
-                                0,
-                                Idempotency.IDEMPOTENT_WITH_KEY,
-                                DeduplicationScope.ZONE,
-                                1200000)),
-                        List.of(new Tenant("vest", 277)),
-                        0.05,
-                        true,
-                        new Limits(true, false, false, true, 4, 2000000, 150000),
-                        new SafetyLimits(0.4, 8100000, 4, 1000000, 10000000, true),
-                        5192));
+        assertThat(run(batch(START))).isZero();
+        assertThat(settingsRead)
+                .containsExactly(settings()
+                        .proxy(2, 3)
+                        .zone("skoyen")
+                        .minEventIntervalUs(4000)
+                        .requestClasses(requestClass("pay")
+                                .latencyObjectiveUs(400000)
+                                .deadlineUs(2000000)
+                                .priorityWeight(10)
+                                .lateWeightFraction(0)
+                                .deduplicated(DeduplicationScope.ZONE, 1200000)
+                                .build())
+                        .tenants(new Tenant("vest", 277))
+                        .overQuotaWeightFraction(0.05)
+                        .cacheAffinity(true)
+                        .limits(limits().cancellation(true)
+                                .hedging(false)
+                                .healthChecks(false)
+                                .endpointsArePolled(true)
+                                .maxAttempts(4)
+                                .maxRetryAfterUs(2000000)
+                                .connectTimeoutUs(150000)
+                                .build())
+                        .safetyLimits(safetyLimits()
+                                .initialCapacity(0.4)
+                                .slowStartUs(8100000)
+                                .overloadMultiple(4)
+                                .overloadWindowUs(1000000)
+                                .pollIntervalUs(10000000)
+                                .rejectedMayHaveExecuted(true)
+                                .build())
+                        .seed(5192)
+                        .build());
     }
 
     @Test
-    void tellsNobodyWhenToComeBackWhereThatIsNotAllowed() throws IOException {
-        assertThat(run(batch(UP.replace("bounds.probes=false", "bounds.probes=false bounds.retry_after=false"))))
+    void sendsNoRetryAfterWhereTheSettingsForbidIt() throws IOException {
+        assertThat(run(batch(START.replace("bounds.probes=false", "bounds.probes=false bounds.retry_after=false"))))
                 .isZero();
-        assertThat(settings).extracting(s -> s.limits().maxRetryAfterUs()).containsExactly(0L);
+        assertThat(settingsRead)
+                .extracting(settings -> settings.limits().maxRetryAfterUs())
+                .containsExactly(0L);
     }
 
     @Test
     void readsEveryEvent() throws IOException {
         assertThat(run(batch(
-                        UP,
-                        LIST,
+                        START,
+                        ENDPOINT_UPDATE,
                         "incoming who=3 op_id=t/1 kind=pay user_group=vest path_key=user:k patience_left_us=240000 repeat=1\n",
                         "completed who=3 op_id=t/1 last=0 cost_time_us=18500 how=shed backend=10.1.1.1:80 go=0 health_info=rif:2\n",
                         "flowing who=3 op_id=t/1 cost_time_us=9 go=1 backend=10.1.1.1:80\n",
@@ -134,7 +149,14 @@
                 .containsExactly(
                         new Event.EndpointUpdate(
                                 UpdateKind.CACHED,
-                                List.of(new Endpoint("10.1.1.1:80", EndpointState.READY, "std-1", "ulven", 2, 7, 1.5))),
+                                List.of(endpointBuilder("10.1.1.1:80")
+                                        .state(EndpointState.READY)
+                                        .kind("std-1")
+                                        .zone("ulven")
+                                        .cell(2)
+                                        .startedAtUs(7)
+                                        .weight(1.5)
+                                        .build())),
                         new Event.RequestArrived("t/1", "pay", "vest", "user:k", 240000, true),
                         new Event.AttemptEnded("t/1", 0, "10.1.1.1:80", AttemptOutcome.REJECTED, 18500, false),
                         new Event.StreamStarted("t/1", 1),
@@ -157,8 +179,8 @@
                 new Action.FetchEndpoints(),
                 new Action.CloseIdleConnections("b:1"),
                 new Action.LogMessage("two\nlines")));
-        assertThat(run(batch(UP, "deadline_hit who=3 ctx=x\n"))).isZero();
-        assertThat(written()).isEqualTo("""
+        assertThat(run(batch(START, "deadline_hit who=3 ctx=x\n"))).isZero();
+        assertThat(output()).isEqualTo("""
                 relay who=3 op_id=t/1 backend=b:1 max_wait_us=80
                 arm who=3 fire_at_us=90 ctx=q
                 not_now who=3 op_id=t/1
@@ -174,23 +196,35 @@
                 """);
     }
 
+    /**
+     * A proxy is killed and restarted within one batch. The new instance must have a new load balancer: state of the
+     * previous one would name requests that no longer exist.
+     */
     @Test
-    void anInstanceStartsAfreshAfterADetachInTheSameBatch() throws IOException {
-        assertThat(run(batch(UP) + batch("detach who=3\n", UP, "hangup who=3 op_id=t/1\n")))
+    void instanceStartsAfreshAfterItWasKilledInTheSameBatch() throws IOException {
+        assertThat(run(batch(START) + batch("detach who=3\n", START, "hangup who=3 op_id=t/1\n")))
                 .isZero();
-        assertThat(settings).hasSize(2);
+        assertThat(settingsRead).hasSize(2);
         assertThat(events).hasSize(1);
     }
 
+    /**
+     * A load balancer throws. The simulator must learn which instance failed and where, on one line, and the
+     * reply must be complete; without it the simulator would wait for its end.
+     */
     @Test
-    void aFailureOfTheModulePanicsThatInstanceAndSaysWhere() throws IOException {
-        assertThat(run(batch(UP, "deadline_hit who=3 ctx=boom\n"))).isZero();
-        assertThat(written())
+    void failureOfALoadBalancerIsReportedForItsInstanceWithThePlace() throws IOException {
+        assertThat(run(batch(START, "deadline_hit who=3 ctx=boom\n"))).isZero();
+        assertThat(output())
                 .startsWith("panic who=3 message=java.lang.IllegalStateException: out of order at gaugegw")
                 .endsWith("\nok\n")
                 .contains("HostTest.java:");
     }
 
+    /**
+     * The simulator and this program disagree about the wire. The run ends with the number of the line and the part
+     * of it that is wrong, and without half a reply.
+     */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -206,24 +240,31 @@
                 "update who=3 form=whole nodes_list=1| expected 'entry', found 'commit'",
                 "batch wall_us=2| batch: missing field 'who'"
             })
-    void saysWhatIsMalformedAndWhere(String line, String message) throws IOException {
-        assertThat(run(batch(UP, line + "\n"))).isEqualTo(1);
-        assertThat(complaint()).matches("line [34]: .*").endsWith(message.strip());
-        assertThat(written()).isEmpty();
+    void namesTheMalformedPartAndItsLine(String line, String message) throws IOException {
+        assertThat(run(batch(START, line + "\n"))).isEqualTo(1);
+        assertThat(error()).matches("line [34]: .*").endsWith(message.strip());
+        assertThat(output()).isEmpty();
     }
 
     @Test
-    void refusesAnythingOutsideABatch() throws IOException {
+    void rejectsAnythingOutsideABatch() throws IOException {
         assertThat(run("hangup who=3\n")).isEqualTo(1);
-        assertThat(complaint()).isEqualTo("line 1: expected 'batch', found 'hangup'");
+        assertThat(error()).isEqualTo("line 1: expected 'batch', found 'hangup'");
     }
 
+    /**
+     * The simulator dies in the middle of a batch. The error and the exit status must show it, rather than a clean end.
+     */
     @Test
-    void refusesInputCutInsideABatch() throws IOException {
-        assertThat(run("batch wall_us=1\n" + UP)).isEqualTo(1);
-        assertThat(complaint()).isEqualTo("line 3: input ends inside a batch");
+    void rejectsInputThatEndsInsideABatch() throws IOException {
+        assertThat(run("batch wall_us=1\n" + START)).isEqualTo(1);
+        assertThat(error()).isEqualTo("line 3: input ends inside a batch");
     }
 
+    /**
+     * A deployment leaves out a setting. A default would let it run with limits that nobody chose; the error names
+     * the setting.
+     */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -245,10 +286,10 @@
                 "projects.0.allowance_per_s"
             })
     void namesAMissingSetting(String setting) throws IOException {
-        String without = UP.replaceAll(" " + setting.replace(".", "\\.") + "=\\S*", "");
-        assertThat(without).isNotEqualTo(UP);
+        String without = START.replaceAll(" " + setting.replace(".", "\\.") + "=\\S*", "");
+        assertThat(without).isNotEqualTo(START);
         assertThat(run(batch(without))).isEqualTo(1);
-        assertThat(complaint()).isEqualTo("line 2: up: missing setting '" + setting + "'");
+        assertThat(error()).isEqualTo("line 2: up: missing setting '" + setting + "'");
     }
 
     @ParameterizedTest
@@ -258,8 +299,8 @@
         "bounds.cancel=true,bounds.cancel=maybe,unknown value 'maybe' in setting 'bounds.cancel'",
         "quantum_us=4000,quantum_us=4.5,bad number '4.5' in setting 'quantum_us'"
     })
-    void namesASettingThatCannotBe(String good, String bad, String message) throws IOException {
-        assertThat(run(batch(UP.replace(good, bad)))).isEqualTo(1);
-        assertThat(complaint()).isEqualTo("line 2: up: " + message);
+    void namesAnInvalidSetting(String valid, String invalid, String message) throws IOException {
+        assertThat(run(batch(START.replace(valid, invalid)))).isEqualTo(1);
+        assertThat(error()).isEqualTo("line 2: up: " + message);
     }
 }
