--- a/src/test/java/gaugegw/proxy/config/ConfigFileWatcherTest.java
+++ b/src/test/java/gaugegw/proxy/config/ConfigFileWatcherTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Which states of a configuration file are taken up; the polls are the test's own. */
+/** Which states of a configuration file are applied; the polls are the test's own. */
 class ConfigFileWatcherTest {
     private static final String FIRST = "127.0.0.1:1";
     private static final String SECOND = "127.0.0.1:2";
@@ -20,62 +20,68 @@
     @TempDir
     private Path folder;
 
-    private final List<String> taken = new ArrayList<>();
-    private final List<String> invalid = new ArrayList<>();
+    private final List<String> applied = new ArrayList<>();
+    private final List<String> rejected = new ArrayList<>();
     private Path file;
     private ConfigFileWatcher watcher;
 
     @BeforeEach
-    void readConfig() throws Exception {
+    void watch() throws Exception {
         file = Files.writeString(folder.resolve("config.json"), ProxyFixture.config(FIRST));
         watcher = new ConfigFileWatcher(file, ProxyConfig.read(file), new ConfigFileWatcher.Listener() {
             @Override
             public void configChanged(ProxyConfig config) {
-                taken.add("127.0.0.1:" + config.discoveryAddress().getPort());
+                applied.add("127.0.0.1:" + config.discoveryAddress().getPort());
             }
 
             @Override
             public void configRejected(Exception reason) {
-                invalid.add(reason.getMessage());
+                rejected.add(reason.getMessage());
             }
         });
     }
 
     @Test
-    void takesEachReplacementOnce() throws Exception {
+    void appliesEachReplacementOnce() throws Exception {
         poll(3);
-        assertThat(taken).isEmpty();
+        assertThat(applied).isEmpty();
         Files.writeString(file, ProxyFixture.config(SECOND));
         poll(3);
-        assertThat(taken).containsExactly(SECOND);
+        assertThat(applied).containsExactly(SECOND);
     }
 
-    /** A file that is written piece by piece, or missing between two, is read until it parses; each state is told once. */
+    /**
+     * The file is deleted, then written piece by piece, and is polled meanwhile. It is rejected once for each state, is
+     * read again at each poll, and is applied once it parses.
+     */
     @Test
-    void waitsForAnInvalidFileToBecomeValid() throws Exception {
+    void rereadsAnInvalidFileUntilItIsValid() throws Exception {
         String config = ProxyFixture.config(SECOND);
         Files.delete(file);
         poll(3);
-        assertThat(invalid).hasSize(1);
+        assertThat(rejected).hasSize(1);
         Files.writeString(file, config.substring(0, config.length() / 2));
         poll(3);
-        assertThat(invalid).hasSize(2);
-        assertThat(taken).isEmpty();
+        assertThat(rejected).hasSize(2);
+        assertThat(applied).isEmpty();
         Files.writeString(file, config);
         poll(1);
-        assertThat(taken).containsExactly(SECOND);
-        assertThat(invalid).hasSize(2);
+        assertThat(applied).containsExactly(SECOND);
+        assertThat(rejected).hasSize(2);
     }
 
-    /** The file system's clock has ticks: a file may be written twice within one. */
+    /**
+     * The file is written twice within one tick of the file system's clock, with contents of the same size, and a poll
+     * falls between. Neither size nor modification time show the second write; the next poll has to read it all the same.
+     */
     @Test
-    void seesAWriteThatLeavesSizeAndTimeAsTheyWere() throws Exception {
+    void appliesAWriteThatLeavesSizeAndModificationTimeUnchanged() throws Exception {
         watcher.poll();
         FileTime modified = Files.getLastModifiedTime(file);
         Files.writeString(file, ProxyFixture.config(SECOND));
         Files.setLastModifiedTime(file, modified);
         watcher.poll();
-        assertThat(taken).containsExactly(SECOND);
+        assertThat(applied).containsExactly(SECOND);
     }
 
     private void poll(int times) {
--- a/src/test/java/gaugegw/proxy/config/JsonTreesTest.java
+++ b/src/test/java/gaugegw/proxy/config/JsonTreesTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The mapper tells what a document means; the reader differs from it in what it costs alone. */
+/** Jackson's mapper is the reference: the reader gives the same trees and rejects the same documents. */
 class JsonTreesTest {
     @ParameterizedTest
     @ValueSource(
@@ -34,14 +34,16 @@
                 .isEqualTo(new ObjectMapper().readTree(text).getNodeType());
     }
 
+    /** A document ends early or has a token out of place. It is rejected as no JSON, not read in part. */
     @ParameterizedTest
     @ValueSource(strings = {"{", "[1", "{\"a\"}", "{\"a\":}", "]", "}", "nul", "[1,]", "{\"a\":1", "not JSON"})
-    void refusesWhatIsBroken(String text) {
+    void rejectsMalformedDocuments(String text) {
         assertThatThrownBy(() -> ProxyFixture.json(text)).isInstanceOf(JsonProcessingException.class);
     }
 
+    /** A document nests a hundred thousand arrays. It is rejected before the recursion overflows the stack. */
     @Test
-    void nestsOnlySoDeep() {
+    void limitsNesting() {
         assertThatThrownBy(() -> ProxyFixture.json("[".repeat(100_000))).isInstanceOf(JsonProcessingException.class);
     }
 }
--- a/src/test/java/gaugegw/proxy/config/ProxyConfigTest.java
+++ b/src/test/java/gaugegw/proxy/config/ProxyConfigTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The configuration: what it says, and one plain line on what is wrong with it. */
+/** What a configuration says, and the one line on what is wrong with it. */
 class ProxyConfigTest {
     @Test
     void readsTheSettings() throws Exception {
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void aListThatHasChangedTellsARestartFromAFirstStart() throws Exception {
+    void aCachedListThatHasChangedMarksARestart() throws Exception {
         ObjectNode json = ProxyFixture.config();
         assertThat(ProxyConfig.parse(json).isFirstStart()).isFalse();
         ((ObjectNode) json.get("known")).put("version", 0);
@@ -40,6 +40,7 @@
         assertThat(ProxyConfig.parse(json).isFirstStart()).isTrue();
     }
 
+    /** One field is missing, malformed or out of range. The message names it and says what is wanted there. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -51,26 +52,39 @@
                 "limits|''|'limits.sockets': a number of at least 128 is wanted",
                 "settings|'x'|'settings': an object is wanted"
             })
-    void namesTheFieldThatIsWrong(String field, String value, String message) throws Exception {
+    void namesTheInvalidField(String field, String value, String message) throws Exception {
         assertThatThrownBy(() -> ProxyConfig.parse(ProxyFixture.config().put(field, value)))
                 .isInstanceOf(InvalidConfigException.class)
                 .hasMessage(message);
     }
 
+    /** A setting is missing, or has a value that is none of those allowed. The message names it by its path. */
     @Test
-    void namesTheSettingThatIsWrong() throws Exception {
-        ObjectNode missing = ProxyFixture.config();
-        ((ObjectNode) missing.path("settings").path("bounds")).remove("conn_idle_us");
-        assertThatThrownBy(() -> ProxyConfig.parse(missing))
+    void namesTheInvalidSetting() throws Exception {
+        ObjectNode withoutSetting = ProxyFixture.config();
+        ((ObjectNode) withoutSetting.path("settings").path("bounds")).remove("conn_idle_us");
+        assertThatThrownBy(() -> ProxyConfig.parse(withoutSetting))
                 .hasMessage("'settings': missing setting 'bounds.conn_idle_us'");
-        ObjectNode wrong = ProxyFixture.config();
-        ((ObjectNode) wrong.path("settings").path("profiles").get(1)).put("effect", "sometimes");
-        assertThatThrownBy(() -> ProxyConfig.parse(wrong))
+        ObjectNode withUnknownValue = ProxyFixture.config();
+        ((ObjectNode) withUnknownValue.path("settings").path("profiles").get(1)).put("effect", "sometimes");
+        assertThatThrownBy(() -> ProxyConfig.parse(withUnknownValue))
                 .hasMessage("'settings': unknown value 'sometimes' in setting 'profiles.1.effect'");
     }
 
+    /** The error's parts are for code; the message, which tests above fix, is for the operators. */
     @Test
-    void saysWhereAFileIsNoConfiguration(@TempDir Path folder) throws Exception {
+    void givesFieldFoundAndWantedSeparately() throws Exception {
+        assertThatThrownBy(() -> ProxyConfig.parse(ProxyFixture.config().put("listen", "8080")))
+                .isInstanceOfSatisfying(InvalidConfigException.class, e -> {
+                    assertThat(e.field()).isEqualTo("listen");
+                    assertThat(e.found()).isEqualTo("8080");
+                    assertThat(e.wanted()).isEqualTo("address and port");
+                });
+    }
+
+    /** The file does not exist, then holds half a document. The message tells the two apart. */
+    @Test
+    void rejectsAFileThatIsNoConfiguration(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("config.json");
         assertThatThrownBy(() -> ProxyConfig.read(file))
                 .isInstanceOf(InvalidConfigException.class)
