--- /dev/null
+++ b/src/main/java/gaugegw/proxy/logging/package-info.java
@@ -0,0 +1,2 @@
+/** The log for the operators, on standard error. Depends on nothing else. */
+package gaugegw.proxy.logging;
