--- a/src/main/java/gaugegw/proxy/transport/EvictionQueue.java
+++ b/src/main/java/gaugegw/proxy/transport/EvictionQueue.java
@@ -5,36 +5,46 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Connections that may be closed to make room for others, in the order in which they became so. */
+/**
+ * Connections that may be closed to free their descriptors for others, in the order in which they became so. Used on the
+ * event loop only.
+ */
 final class EvictionQueue {
-    private final long leastIdleNs;
-    private final Map<Channel, Long> idleSince = new LinkedHashMap<>();
+    private final long minAgeNs;
+    /** The {@link System#nanoTime} at which each was added. */
+    private final Map<Channel, Long> addedAtNs = new LinkedHashMap<>();
 
-    /** Makes a queue whose connections may be closed once they have been in it for so many nanoseconds. */
-    EvictionQueue(long leastIdleNs) {
-        this.leastIdleNs = leastIdleNs;
+    /**
+     * Makes an empty queue.
+     *
+     * @param minAgeNs time in the queue, in nanoseconds, before which a connection is not closed
+     */
+    EvictionQueue(long minAgeNs) {
+        this.minAgeNs = minAgeNs;
     }
 
+    /** Adds a connection, which is not in the queue, at its end. */
     void add(Channel channel) {
-        idleSince.put(channel, System.nanoTime());
+        addedAtNs.put(channel, System.nanoTime());
     }
 
+    /** Removes a connection, if it is in the queue. */
     void remove(Channel channel) {
-        idleSince.remove(channel);
+        addedAtNs.remove(channel);
     }
 
     boolean isEmpty() {
-        return idleSince.isEmpty();
+        return addedAtNs.isEmpty();
     }
 
-    /** Closes the connection that has been here for longest; returns whether there was one that may be closed. */
+    /** Closes the connection that was added first; returns whether there was one that may be closed. */
     boolean evictOldest() {
-        Iterator<Map.Entry<Channel, Long>> entries = idleSince.entrySet().iterator();
+        Iterator<Map.Entry<Channel, Long>> entries = addedAtNs.entrySet().iterator();
         if (!entries.hasNext()) {
             return false;
         }
         Map.Entry<Channel, Long> oldest = entries.next();
-        if (System.nanoTime() - oldest.getValue() < leastIdleNs) {
+        if (System.nanoTime() - oldest.getValue() < minAgeNs) {
             return false;
         }
         entries.remove();
