--- a/src/main/java/gaugegw/proxy/transport/ConnectionLimiter.java
+++ b/src/main/java/gaugegw/proxy/transport/ConnectionLimiter.java
@@ -5,32 +5,39 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Keeps the connections of clients and backends within the {@link DescriptorBudget}, so that the process stays under
- * its limit of descriptors and the calls to discovery always find one. As connections run short, those of clients end
- * with their answers and idle ones are evicted; while nothing can be evicted, no client is accepted and the others wait
- * in the listener's queue.
+ * Keeps the connections of clients and to backends within the {@link DescriptorBudget}, so that the process stays under
+ * its limit of file descriptors and calls to discovery always find one. As connections run short, those of clients are
+ * closed with their responses and idle ones are evicted. While nothing can be evicted no client is accepted, and new
+ * ones wait in the listener's backlog.
+ *
+ * <p>All methods but {@link #listener} are called on the event loop. Connections are counted from their opening until
+ * their descriptors are released; each reports here whether it is busy, and so whether it may be evicted.
  */
 public final class ConnectionLimiter {
-    /** A request that is on its way to a new connection has come by then: evicted sooner, it would fail. */
-    private static final long FIRST_REQUEST_NS = TimeUnit.MILLISECONDS.toNanos(20);
+    /** Time in which the first request of a new connection arrives: one evicted sooner would fail that request. */
+    private static final long FIRST_REQUEST_GRACE_NS = TimeUnit.MILLISECONDS.toNanos(20);
 
     private final EventLoop loop;
     private final DescriptorBudget budget;
     private final EvictionQueue idleBackends = new EvictionQueue(0);
-    /** Clients from which no whole request has come yet. */
-    private final EvictionQueue silentClients = new EvictionQueue(FIRST_REQUEST_NS);
-    /** Clients that have had an answer and have sent no whole request since. */
+    /** Clients from which no complete request has arrived yet. */
+    private final EvictionQueue newClients = new EvictionQueue(FIRST_REQUEST_GRACE_NS);
+    /** Clients that have had a response and have sent no complete request since. */
     private final EvictionQueue idleClients = new EvictionQueue(0);
 
     private int clients;
     private int backends;
     /** Closed connections whose descriptors the selector has yet to release. */
-    private int closing;
+    private int unreleased;
 
     private boolean evictionScheduled;
     private Channel listener;
 
-    /** Makes a limiter for a process that may hold so many descriptors; all its methods are called on the loop. */
+    /**
+     * Makes a limiter.
+     *
+     * @param descriptorLimit the number of file descriptors that the process may hold
+     */
     public ConnectionLimiter(EventLoop loop, int descriptorLimit) {
         this.loop = loop;
         budget = DescriptorBudget.of(descriptorLimit);
@@ -41,10 +48,11 @@
         listener = channel;
     }
 
-    /** Counts a client's connection from its acceptance up to its close. */
+    /** Counts a client's connection from its acceptance until its close. */
     public void clientOpened(Channel channel) {
+        assert loop.inEventLoop();
         clients++;
-        silentClients.add(channel);
+        newClients.add(channel);
         channel.closeFuture().addListener(f -> {
             clients--;
             clientBusy(channel);
@@ -54,13 +62,14 @@
         updateAccepting();
     }
 
-    /** A client's connection holds a request, and is not evicted. */
+    /** A client's connection has a request in flight, and is not evicted. */
     public void clientBusy(Channel channel) {
-        silentClients.remove(channel);
+        assert loop.inEventLoop();
+        newClients.remove(channel);
         idleClients.remove(channel);
     }
 
-    /** A client's connection holds no request, and may be evicted. */
+    /** A client's connection has no request in flight, and may be evicted. */
     public void clientIdle(Channel channel) {
         clientBusy(channel);
         if (channel.isOpen()) {
@@ -70,24 +79,26 @@
     }
 
     /**
-     * Returns whether clients' connections are to be closed with their answers, as they run short: a close with an
-     * answer, unlike an eviction, never crosses the client's next request.
+     * Returns whether clients' connections are to be closed with their responses, as they run short. Unlike an eviction,
+     * a close with a response never crosses the client's next request.
      */
     public boolean nearClientLimit() {
-        return clients > budget.clients() * 3 / 4;
+        return clients > budget.maxClients() * 3 / 4;
     }
 
     /** Returns whether one more connection to a backend may be opened; evicts an idle connection where that helps. */
     public boolean admitsBackend() {
+        assert loop.inEventLoop();
         // The descriptor of an evicted connection is still held while the new one is opened.
-        return open() < budget.most()
-                && (Math.min(clients, budget.clients()) + backends < budget.connections()
+        return open() < budget.maxOpen()
+                && (Math.min(clients, budget.maxClients()) + backends < budget.maxConnections()
                         || idleBackends.evictOldest()
                         || evictClient());
     }
 
-    /** Counts a connection to a backend from before its connect up to its close. */
+    /** Counts a connection to a backend from before its connect until its close. */
     public void backendOpened(Channel channel) {
+        assert loop.inEventLoop();
         backends++;
         channel.closeFuture().addListener(f -> {
             backends--;
@@ -99,6 +110,7 @@
 
     /** A connection to a backend carries an attempt, and is not evicted. */
     public void backendBusy(Channel channel) {
+        assert loop.inEventLoop();
         idleBackends.remove(channel);
     }
 
@@ -112,35 +124,36 @@
     }
 
     /**
-     * A closed socket keeps its descriptor until the selector's next turn. A task may still run before that; what it
-     * schedules runs after it.
+     * Counts a closed socket until its descriptor is released, in the selector's next turn. A task may still run before
+     * that turn; what the task schedules runs after it.
      */
     private void awaitRelease() {
-        closing++;
+        unreleased++;
         loop.execute(() -> loop.schedule(this::released, 0, TimeUnit.NANOSECONDS));
     }
 
     private void released() {
-        closing--;
+        assert loop.inEventLoop();
+        unreleased--;
         updateAccepting();
     }
 
     private int open() {
-        return clients + backends + closing;
+        return clients + backends + unreleased;
     }
 
     private void updateAccepting() {
-        boolean accepting = clients <= budget.clients() && open() <= budget.connections();
+        boolean accepting = clients <= budget.maxClients() && open() <= budget.maxConnections();
         if (listener != null && listener.config().isAutoRead() != accepting) {
             listener.config().setAutoRead(accepting);
         }
     }
 
     private boolean overBudget() {
-        return clients > budget.clients() || clients + backends > budget.connections();
+        return clients > budget.maxClients() || clients + backends > budget.maxConnections();
     }
 
-    /** As a task: what the loop has found to be readable is read first, and its connection is idle no more. */
+    /** Evicts in a task: what the loop has found to be readable is read first, and may make a connection busy. */
     private void evictSoon() {
         if (overBudget() && !evictionScheduled) {
             evictionScheduled = true;
@@ -148,13 +161,14 @@
         }
     }
 
+    /** Evicts until the budget is kept; once more later where what is left are new clients. */
     private void evictDownToBudget() {
         evictionScheduled = false;
         while (overBudget()) {
             if (!evictOne()) {
-                evictionScheduled = !silentClients.isEmpty();
+                evictionScheduled = !newClients.isEmpty();
                 if (evictionScheduled) {
-                    loop.schedule(this::evictDownToBudget, FIRST_REQUEST_NS, TimeUnit.NANOSECONDS);
+                    loop.schedule(this::evictDownToBudget, FIRST_REQUEST_GRACE_NS, TimeUnit.NANOSECONDS);
                 }
                 return;
             }
@@ -162,11 +176,11 @@
     }
 
     private boolean evictOne() {
-        boolean tooManyClients = clients > budget.clients();
+        boolean tooManyClients = clients > budget.maxClients();
         return (!tooManyClients && idleBackends.evictOldest()) || evictClient();
     }
 
     private boolean evictClient() {
-        return silentClients.evictOldest() || idleClients.evictOldest();
+        return newClients.evictOldest() || idleClients.evictOldest();
     }
 }
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
@@ -232,7 +232,7 @@
                 UpstreamConnection connection = i.next();
                 if (connection.settled(now)) {
                     // Where the loop was held up, what has come may be unread: it would pass for the next answer.
-                    if (transport.silent().test(connection.channel)) {
+                    if (transport.isSilent(connection.channel)) {
                         return connection;
                     }
                     i.remove();
--- a/src/test/java/gaugegw/proxy/discovery/EndpointWatcherTest.java
+++ b/src/test/java/gaugegw/proxy/discovery/EndpointWatcherTest.java
@@ -19,12 +19,15 @@
 import gaugegw.proxy.testing.ScriptedServer;
 import gaugegw.proxy.transport.Transport;
 import io.netty.bootstrap.Bootstrap;
+import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
 import io.netty.channel.ChannelFactory;
+import io.netty.channel.EventLoop;
 import io.netty.channel.socket.nio.NioSocketChannel;
 import java.io.IOException;
 import java.net.InetSocketAddress;
+import java.net.SocketAddress;
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
 import java.util.List;
@@ -374,12 +377,8 @@
             }
             return new NioSocketChannel();
         };
-        var transport = new Transport(
-                sockets.loop(),
-                sockets.server(),
-                new Bootstrap().group(sockets.loop()).channelFactory(limited),
-                sockets.addresses(),
-                sockets.silent());
+        var transport = new TransportWithClient(
+                sockets, new Bootstrap().group(sockets.loop()).channelFactory(limited));
         try (var discovery = new ScriptedServer()) {
             ProxyConfig config = ProxyConfig.parse(ProxyFixture.json(ProxyFixture.config(discovery.address())));
             var serve =
@@ -393,6 +392,29 @@
         }
     }
 
+    /** A transport whose connecting channels are others. */
+    private record TransportWithClient(Transport other, Bootstrap client) implements Transport {
+        @Override
+        public EventLoop loop() {
+            return other.loop();
+        }
+
+        @Override
+        public ServerBootstrap server() {
+            return other.server();
+        }
+
+        @Override
+        public SocketAddress address(InetSocketAddress address) {
+            return other.address(address);
+        }
+
+        @Override
+        public boolean isSilent(Channel channel) {
+            return other.isSilent(channel);
+        }
+    }
+
     /** One entry that makes no sense must not cost the others. */
     @Test
     void leavesMalformedEntriesOut() throws Exception {
--- a/src/test/java/gaugegw/proxy/lifecycle/ProxyServerTest.java
+++ b/src/test/java/gaugegw/proxy/lifecycle/ProxyServerTest.java
@@ -160,7 +160,7 @@
             CompletableFuture<Void> drained = CompletableFuture.completedFuture(null);
             if (crowd) {
                 // All of them hold a request: the one that holds none is to make room.
-                for (int i = 0; i < DescriptorBudget.of(128).clients(); i++) {
+                for (int i = 0; i < DescriptorBudget.of(128).maxClients(); i++) {
                     RawConnection client = proxy.client();
                     clients.add(client);
                     client.send(ProxyFixture.get("held" + i));
--- a/src/test/java/gaugegw/proxy/transport/ConnectionLimiterTest.java
+++ b/src/test/java/gaugegw/proxy/transport/ConnectionLimiterTest.java
@@ -61,7 +61,7 @@
     @Test
     void aBurstOfClientsBesideOpenBackendsStaysUnderTheLimit() {
         int backends = openBackends();
-        crowd(Transport.ACCEPTED_AT_ONCE);
+        crowd(SocketTransport.MAX_ACCEPTS_PER_TURN);
         assertThat(clients).isNotEmpty();
         assertThat(backends + clients.size()).isLessThanOrEqualTo(LIMIT - RESERVED);
     }
@@ -69,7 +69,7 @@
     /** Until the selector's next turn the descriptors of closed connections are still held. */
     @Test
     void closedConnectionsCountUntilTheyAreReleased() {
-        crowd(Transport.ACCEPTED_AT_ONCE);
+        crowd(SocketTransport.MAX_ACCEPTS_PER_TURN);
         clients.forEach(Channel::close);
         assertThat(openBackends() + clients.size()).isLessThanOrEqualTo(LIMIT - RESERVED);
         assertThat(listener.config().isAutoRead()).isFalse();
--- a/src/test/java/gaugegw/proxy/transport/DescriptorReserveTest.java
+++ b/src/test/java/gaugegw/proxy/transport/DescriptorReserveTest.java
@@ -97,7 +97,7 @@
     @Test
     @Timeout(30)
     void aConnectionInPlaceOfASpoiltOneNeedsRoomToo() throws Exception {
-        int backends = DescriptorBudget.of(LIMIT).connections() / 2;
+        int backends = DescriptorBudget.of(LIMIT).maxConnections() / 2;
         int requests = backends - 1;
         var read = new CountDownLatch(1);
         var spoilt = new CountDownLatch(1);
