--- a/src/test/java/gaugegw/proxy/lifecycle/ProxyServerTest.java
+++ b/src/test/java/gaugegw/proxy/lifecycle/ProxyServerTest.java
@@ -22,62 +22,73 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A planned restart, and the limit on sockets. */
+/** A graceful shutdown, and the limit on file descriptors. */
 class ProxyServerTest {
-    /** Asked of a proxy that is not ready; the answer keeps the connection. */
+    /** A readiness check; a proxy that is not ready keeps the connection open after its response. */
     private static final String READY = "GET /ready HTTP/1.1\r\n\r\n";
 
     private static final String LONGEST_BODY = "x".repeat(HttpLimits.MAX_BODY_BYTES);
-    /** So many answers with such a body are more than the kernel holds for both sides. */
-    private static final int MORE_THAN_THE_KERNEL_HOLDS = 150;
+    /** So many responses with such a body are more than the kernel buffers for both sides. */
+    private static final int EXCEEDING_KERNEL_BUFFERS = 150;
 
-    /** All of it together, with the module that is in service: it watches, serves, tries elsewhere, and refuses. */
+    /**
+     * With the load balancer that is in service, and one of two backends unreachable. The proxy retries on the other one,
+     * watches the endpoint list, and rejects requests once the list is empty.
+     */
     @Test
-    void servesWithTheModule() throws Exception {
-        var dead = new ScriptedServer();
-        dead.close();
+    void servesWithTheLoadBalancerInService() throws Exception {
+        var unreachable = new ScriptedServer();
+        unreachable.close();
         try (var backend = new ScriptedServer();
-                var proxy = ProxyFixture.inService(dead, backend);
+                var proxy = ProxyFixture.inService(unreachable, backend);
                 var client = proxy.client()) {
             backend.always(ScriptedServer.ok("served"));
-            RawConnection call = proxy.discovery.accept();
-            assertThat(call.read().first()).contains("from=41&hold_ms=0");
+            RawConnection watch = proxy.discovery.accept();
+            assertThat(watch.read().first()).contains("from=41&hold_ms=0");
             for (int i = 0; i < 10; i++) {
                 assertThat(client.send(ProxyFixture.post("r" + i, "pay")).read().body())
                         .isEqualTo("served");
             }
-            call.send(ScriptedServer.ok(ProxyFixture.list(42, true)));
+            watch.send(ScriptedServer.ok(ProxyFixture.list(42, true)));
             proxy.discovery.accept().read();
-            RawConnection.Message answer = client.send(ProxyFixture.get("none")).read();
-            assertThat(answer.status()).isEqualTo(503);
-            assertThat(answer.header("Retry-After")).matches("[01]\\.[0-9]{3}");
+            RawConnection.Message response =
+                    client.send(ProxyFixture.get("none")).read();
+            assertThat(response.status()).isEqualTo(503);
+            assertThat(response.header("Retry-After")).matches("[01]\\.[0-9]{3}");
         }
     }
 
-    /** Told to end while it waits for its agent: it lets nobody in, and that is no fault of its configuration. */
+    /**
+     * The drain begins while the proxy waits for discovery's agent. It accepts no client then, and does not take that for
+     * a fault of its configuration.
+     */
     @Test
-    void doesNotListenOnceItIsToldToEnd() throws Exception {
+    void doesNotListenOnceTheDrainHasBegun() throws Exception {
         ProxyConfig config = ProxyConfig.parse(ProxyFixture.config());
-        var serve = new ProxyServer(config);
+        var server = new ProxyServer(config);
         try {
-            serve.drain();
-            assertThat(serve.start()).isEmpty();
+            server.drain();
+            assertThat(server.start()).isEmpty();
         } finally {
-            serve.stop();
+            server.stop();
         }
     }
 
-    /** Rule 1 at a restart: what is taken is answered, new clients are served while the front still sends them. */
+    /**
+     * A drain begins with one request in flight, one connection idle and one in use, while new connections still arrive.
+     * The request in flight and those on new connections are answered; the connections stay open for most of the drain,
+     * and are closed with a response or while idle before its end.
+     */
     @Test
-    void answersAllThatItHasTakenBeforeItEnds() throws Exception {
+    void answersAllRequestsInFlightBeforeItEnds() throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var busy = proxy.client();
                 var idle = proxy.client();
                 var used = proxy.client()) {
             busy.send(ProxyFixture.get("r1"));
-            RawConnection slow = backend.accept();
-            slow.read();
+            RawConnection slowAttempt = backend.accept();
+            slowAttempt.read();
             idle.send(READY).read();
             used.send(READY).read();
             CompletableFuture<Void> drained = CompletableFuture.runAsync(proxy::drain);
@@ -88,19 +99,19 @@
                 attempt.send(ScriptedServer.ok("late"));
                 assertThat(late.read().body()).isEqualTo("late");
             }
-            // Clients that are here keep their connections when no others are let in: elsewhere may be worse.
-            while (listens(proxy)) {
+            // Clients keep their connections when no new ones are accepted: other proxies may have just started.
+            while (accepts(proxy)) {
                 assertThat(used.send(READY).read().header("Connection")).isNull();
             }
             assertThat(used.send(READY).read().header("Connection")).isNull();
             assertThat(drained).isNotDone();
-            slow.send(ScriptedServer.ok("slow"));
+            slowAttempt.send(ScriptedServer.ok("slow"));
             assertThat(busy.read().body()).isEqualTo("slow");
-            RawConnection.Message answer = used.send(READY).read();
-            while (answer.header("Connection") == null) {
-                answer = used.send(READY).read();
+            RawConnection.Message response = used.send(READY).read();
+            while (response.header("Connection") == null) {
+                response = used.send(READY).read();
             }
-            assertThat(answer.header("Connection")).isEqualTo("close");
+            assertThat(response.header("Connection")).isEqualTo("close");
             assertThat(used.ended()).isTrue();
             assertThat(idle.ended()).isTrue();
             assertThat(busy.ended()).isTrue();
@@ -108,9 +119,9 @@
         }
     }
 
-    /** The end comes for whoever is left, too: nothing that was taken goes without an answer. */
+    /** A request is still in flight as the drain's time is up. It is failed: none ends with the process and no response. */
     @Test
-    void failsWhatIsStillOpenWhenItHasToEnd() throws Exception {
+    void failsRequestsInFlightAtTheEndOfTheDrain() throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
@@ -122,9 +133,12 @@
         }
     }
 
-    /** What a client has sent ahead begins only when all else has been failed: it is owed an answer as well. */
+    /**
+     * A client has sent a second request behind one in flight. It begins only when the drain's end has failed the first,
+     * and has to be answered as well.
+     */
     @Test
-    void answersWhatBeginsWhenItHasToEnd() throws Exception {
+    void rejectsARequestThatBeginsAtTheEndOfTheDrain() throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
@@ -138,16 +152,19 @@
         }
     }
 
-    /** A connection is idle once its answer has gone out, not before: neither the end nor a crowd cuts an answer short. */
+    /**
+     * A client is slow to read its responses as a drain begins, or as connections run short. Its connection counts as
+     * idle only once they are written: neither a drain nor an eviction cuts a response short.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void finishesTheAnswersThatClientsAreSlowToRead(boolean crowd) throws Exception {
+    void completesTheResponsesThatClientsAreSlowToRead(boolean connectionsRunShort) throws Exception {
         var clients = new ArrayList<RawConnection>();
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(
                         (event, actions) -> {
                             if (!(event instanceof RequestArrived a)
-                                    || !a.requestId().startsWith("held")) {
+                                    || !a.requestId().startsWith("unanswered")) {
                                 ProxyFixture.sendTo("s0").handle(event, actions);
                             }
                         },
@@ -156,14 +173,14 @@
                         backend);
                 var slow = proxy.client()) {
             backend.always(ScriptedServer.ok(LONGEST_BODY));
-            leaveUnread(proxy, slow, MORE_THAN_THE_KERNEL_HOLDS);
+            leaveUnread(proxy, slow, EXCEEDING_KERNEL_BUFFERS);
             CompletableFuture<Void> drained = CompletableFuture.completedFuture(null);
-            if (crowd) {
-                // All of them hold a request: the one that holds none is to make room.
+            if (connectionsRunShort) {
+                // All of them have a request in flight: the one that has none would be evicted.
                 for (int i = 0; i < DescriptorBudget.of(128).maxClients(); i++) {
                     RawConnection client = proxy.client();
                     clients.add(client);
-                    client.send(ProxyFixture.get("held" + i));
+                    client.send(ProxyFixture.get("unanswered" + i));
                     proxy.next(RequestArrived.class);
                 }
             } else {
@@ -173,7 +190,7 @@
                 drained = CompletableFuture.runAsync(proxy::drain);
                 assertThat(idle.ended()).isTrue();
             }
-            readAll(slow, MORE_THAN_THE_KERNEL_HOLDS);
+            readAll(slow, EXCEEDING_KERNEL_BUFFERS);
             drained.get(10, TimeUnit.SECONDS);
         } finally {
             for (RawConnection client : clients) {
@@ -182,59 +199,68 @@
         }
     }
 
-    /** What comes while a connection's last answer is still being written would be sent on, and lost with the connection. */
+    /**
+     * A request arrives while its connection's last response is still being written. Forwarded, it would be lost with the
+     * connection; so it does not begin.
+     */
     @Test
     @Timeout(30)
-    void nothingBeginsBehindALastAnswer() throws Exception {
+    void noRequestBeginsBehindALastResponse() throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var slow = proxy.client()) {
             backend.always(ScriptedServer.ok(LONGEST_BODY));
-            leaveUnread(proxy, slow, MORE_THAN_THE_KERNEL_HOLDS - 1);
+            leaveUnread(proxy, slow, EXCEEDING_KERNEL_BUFFERS - 1);
             slow.send(ProxyFixture.get("last").replace("Host:", "Connection: close\r\nHost:"));
             proxy.next(AttemptEnded.class);
             slow.send(ProxyFixture.get("behind"));
             proxy.settle();
             assertThat(proxy.events).noneMatch(RequestArrived.class::isInstance);
-            readAll(slow, MORE_THAN_THE_KERNEL_HOLDS);
+            readAll(slow, EXCEEDING_KERNEL_BUFFERS);
             assertThat(slow.ended()).isTrue();
         }
     }
 
-    /** As above, where a drain closes a connection that holds no request: the close waits for the answers before it. */
+    /**
+     * As above, where a drain closes a connection without a request in flight: the close waits until its responses are
+     * written, and no request begins meanwhile.
+     */
     @Test
     @Timeout(30)
-    void nothingBeginsOnAConnectionThatADrainCloses() throws Exception {
+    void noRequestBeginsOnAConnectionThatADrainCloses() throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var slow = proxy.client();
                 var idle = proxy.client()) {
             backend.always(ScriptedServer.ok(LONGEST_BODY));
-            leaveUnread(proxy, slow, MORE_THAN_THE_KERNEL_HOLDS);
+            leaveUnread(proxy, slow, EXCEEDING_KERNEL_BUFFERS);
             idle.send(READY).read();
             CompletableFuture<Void> drained = CompletableFuture.runAsync(proxy::drain);
             assertThat(idle.ended()).isTrue();
             slow.send(ProxyFixture.get("behind"));
-            readAll(slow, MORE_THAN_THE_KERNEL_HOLDS);
+            readAll(slow, EXCEEDING_KERNEL_BUFFERS);
             assertThat(slow.ended()).isTrue();
             drained.get(10, TimeUnit.SECONDS);
             assertThat(proxy.events).noneMatch(RequestArrived.class::isInstance);
         }
     }
 
-    /** A close over what the client is still sending would reset the connection, and with it what the client has yet to read. */
+    /**
+     * A client goes on sending while it has yet to read its last response. A close with bytes unread would reset the
+     * connection, and the client would lose that response; so this side ends its sending and lingers.
+     */
     @Test
     @Timeout(30)
-    void aLastAnswerIsNotCutOffByWhatTheClientStillSends() throws Exception {
-        // More than the client's side of the kernel takes unread, less than both sides hold.
-        int answers = 8;
-        var goOn = new CountDownLatch(1);
+    void aLastResponseSurvivesFurtherBytesFromTheClient() throws Exception {
+        // More than the kernel buffers for the client's side, less than for both sides.
+        int responses = 8;
+        var proceed = new CountDownLatch(1);
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(
                         (event, actions) -> {
                             if (event instanceof RequestArrived a
                                     && a.requestId().equals("last")) {
-                                ScriptedServer.await(goOn);
+                                ScriptedServer.await(proceed);
                                 actions.accept(new Reject(a.requestId(), 0));
                             } else {
                                 ProxyFixture.sendTo("s0").handle(event, actions);
@@ -243,37 +269,37 @@
                         backend);
                 var slow = proxy.client()) {
             backend.always(ScriptedServer.ok(LONGEST_BODY));
-            leaveUnread(proxy, slow, answers);
+            leaveUnread(proxy, slow, responses);
             slow.send(ProxyFixture.get("last").replace("Host:", "Connection: close\r\nHost:"));
             proxy.next(RequestArrived.class);
             slow.send(ProxyFixture.get("behind"));
-            goOn.countDown();
+            proceed.countDown();
             proxy.settle();
-            readAll(slow, answers);
+            readAll(slow, responses);
             assertThat(slow.read().status()).isEqualTo(503);
             assertThat(slow.ended()).isTrue();
             assertThat(proxy.events).noneMatch(RequestArrived.class::isInstance);
-            // It stays, but nobody waits for it.
+            // The connection lingers, but no drain waits for it.
             ScriptedServer.until(() -> proxy.connected() == 0);
         }
     }
 
-    /** Has requests answered whose answers the client does not read. */
-    private static void leaveUnread(ProxyFixture proxy, RawConnection client, int answers) throws Exception {
-        for (int i = 0; i < answers; i++) {
+    /** Sends requests one after the other, and leaves their responses unread. */
+    private static void leaveUnread(ProxyFixture proxy, RawConnection client, int responses) throws Exception {
+        for (int i = 0; i < responses; i++) {
             client.send(ProxyFixture.get("r" + i));
             proxy.next(AttemptEnded.class);
             proxy.settle();
         }
     }
 
-    private static void readAll(RawConnection client, int answers) throws IOException {
-        for (int i = 0; i < answers; i++) {
+    private static void readAll(RawConnection client, int responses) throws IOException {
+        for (int i = 0; i < responses; i++) {
             assertThat(client.read().body()).isEqualTo(LONGEST_BODY);
         }
     }
 
-    private static boolean listens(ProxyFixture proxy) {
+    private static boolean accepts(ProxyFixture proxy) {
         try {
             proxy.client().close();
             return true;
@@ -282,53 +308,62 @@
         }
     }
 
-    /** Connections that hold no request, idle or silent, are given up for clients that ask something. */
+    /**
+     * Hundreds of clients connect and send nothing, and one more is idle after a response. Both kinds are evicted for a
+     * client that sends a request.
+     */
     @Test
-    void givesUpConnectionsThatHoldNoRequest() throws Exception {
-        var crowd = new ArrayList<RawConnection>();
+    void evictsConnectionsWithoutARequest() throws Exception {
+        var clients = new ArrayList<RawConnection>();
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), 128, 15_000_000, backend)) {
             backend.always(ScriptedServer.ok("x"));
             RawConnection idle = proxy.client();
-            crowd.add(idle);
+            clients.add(idle);
             assertThat(idle.send(READY).read().status()).isEqualTo(503);
             for (int i = 0; i < 300; i++) {
-                crowd.add(proxy.client());
+                clients.add(proxy.client());
             }
             try (var client = proxy.client()) {
                 assertThat(client.send(ProxyFixture.get("r1")).read().status()).isEqualTo(200);
             }
             assertThat(idle.ended()).isTrue();
         } finally {
-            for (RawConnection client : crowd) {
+            for (RawConnection client : clients) {
                 client.close();
             }
         }
     }
 
-    /** Where places run short, answers end their connections: no client finds its own closed in its face. */
+    /**
+     * Connections run short while most have a request in flight. Responses close their connections then: unlike an
+     * eviction, that never crosses a client's next request.
+     */
     @Test
-    void answersEndTheirConnectionsInACrowd() throws Exception {
-        var crowd = new ArrayList<RawConnection>();
+    void responsesCloseTheirConnectionsAsTheseRunShort() throws Exception {
+        var clients = new ArrayList<RawConnection>();
         try (var proxy = new ProxyFixture((event, actions) -> {}, 128, 15_000_000)) {
             for (int i = 0; i < 40; i++) {
-                crowd.add(proxy.client().send(ProxyFixture.get("r" + i)));
+                clients.add(proxy.client().send(ProxyFixture.get("r" + i)));
                 proxy.next(RequestArrived.class);
             }
-            RawConnection more = proxy.client();
-            crowd.add(more);
-            assertThat(more.send(READY).read().header("Connection")).isEqualTo("close");
+            RawConnection next = proxy.client();
+            clients.add(next);
+            assertThat(next.send(READY).read().header("Connection")).isEqualTo("close");
         } finally {
-            for (RawConnection client : crowd) {
+            for (RawConnection client : clients) {
                 client.close();
             }
         }
     }
 
-    /** Where all hold a request, whoever comes next waits to be accepted, and is served when there is room again. */
+    /**
+     * All connections that the proxy may hold have a request in flight. The next client waits in the backlog, and is
+     * accepted and served once others are closed.
+     */
     @Test
-    void acceptsAgainOnceThereIsRoom() throws Exception {
-        var crowd = new ArrayList<RawConnection>();
+    void acceptsAgainOnceConnectionsAreClosed() throws Exception {
+        var clients = new ArrayList<RawConnection>();
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(
                         (event, actions) -> {
@@ -342,17 +377,17 @@
                         backend)) {
             backend.always(ScriptedServer.ok("x"));
             for (int i = 0; i < 100; i++) {
-                crowd.add(proxy.client().send(ProxyFixture.get("r" + i)));
+                clients.add(proxy.client().send(ProxyFixture.get("r" + i)));
             }
             RawConnection last = proxy.client().send(ProxyFixture.get("last"));
-            crowd.add(last);
-            // The silent ones are answered in the end, by the proxy, and make room.
+            clients.add(last);
+            // The others are failed by the proxy at their deadline, and their connections closed.
             assertThat(last.read()).isNotNull();
-            for (RawConnection client : List.copyOf(crowd).subList(0, 20)) {
+            for (RawConnection client : List.copyOf(clients).subList(0, 20)) {
                 assertThat(client.read().status()).isEqualTo(502);
             }
         } finally {
-            for (RawConnection client : crowd) {
+            for (RawConnection client : clients) {
                 client.close();
             }
         }
--- a/src/test/java/gaugegw/proxy/lifecycle/SignalHandlersTest.java
+++ b/src/test/java/gaugegw/proxy/lifecycle/SignalHandlersTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The signals of the program as it runs in service, received or inherited as ignored. */
+/** The signals of the program as it runs in service, both received and inherited as ignored. */
 class SignalHandlersTest {
     private static final String FIRST_CALL = "GET /v1/endpoints HTTP/1.1";
 
@@ -24,17 +24,20 @@
     private Path file;
 
     @BeforeEach
-    void nameFile() {
+    void nameConfigFile() {
         file = folder.resolve("config.json");
     }
 
-    /** Told to end before it has begun to listen: it ends as it does later. */
+    /**
+     * SIGTERM arrives while the proxy waits for the first answer of discovery's agent, before it listens. It ends as it
+     * does in service, with status 0.
+     */
     @Test
-    void drainsWheneverItIsToldToEnd() throws Exception {
+    void endsOrderlyOnSigtermBeforeItListens() throws Exception {
         try (var agent = new ScriptedServer()) {
             Files.writeString(file, ProxyFixture.config(agent.address()).replace("on_request", "pushed"));
             try (var process = ProxyProcess.start(file, "")) {
-                // It lets nobody in before this is answered, and it is not.
+                // No client is accepted before this call is answered, and it never is.
                 agent.accept().read();
                 process.signal("TERM");
                 assertThat(process.awaitExit()).isZero();
@@ -42,24 +45,27 @@
         }
     }
 
-    /** Without a handler SIGHUP would end it; a replaced file alone changes nothing where the signal can be received. */
+    /**
+     * The file is replaced twice, then SIGHUP arrives. Without a handler the signal would end the process. The proxy is
+     * to go on with the second file, and to have ignored the first, as no signal came for it.
+     */
     @Test
-    void readsItsFileAgainOnSighupOnly() throws Exception {
+    void reloadsItsFileOnSighupOnly() throws Exception {
         try (var first = new ScriptedServer();
-                var neverAsked = new ScriptedServer();
+                var neverCalled = new ScriptedServer();
                 var second = new ScriptedServer()) {
             Files.writeString(file, ProxyFixture.config(first.address()));
             try (var process = ProxyProcess.start(file, "")) {
                 first.accept().read();
-                replace(ProxyFixture.config(neverAsked.address()));
+                replace(ProxyFixture.config(neverCalled.address()));
                 replace(ProxyFixture.config(second.address()));
                 process.signal("HUP");
                 assertThat(second.accept().read().first()).isEqualTo(FIRST_CALL);
-                // The first connection of all: nobody came before.
+                // It is the first connection of all: the proxy has not called there.
                 try (var own = RawConnection.to(
-                        SocketAddresses.parse(neverAsked.address()).orElseThrow())) {
+                        SocketAddresses.parse(neverCalled.address()).orElseThrow())) {
                     own.send("own\r\n\r\n");
-                    assertThat(neverAsked.accept().read().first()).isEqualTo("own");
+                    assertThat(neverCalled.accept().read().first()).isEqualTo("own");
                 }
                 process.signal("TERM");
                 assertThat(process.awaitExit()).isZero();
@@ -68,9 +74,12 @@
         }
     }
 
-    /** Where SIGHUP is inherited as ignored no handler runs: the file's replacement is what counts. */
+    /**
+     * A supervisor starts the process with SIGHUP ignored, so that no handler runs. The file is replaced, then half
+     * written, then complete. The proxy polls it: it reloads each valid state, and keeps its configuration in between.
+     */
     @Test
-    void readsAReplacedFileWhereSighupIsIgnored() throws Exception {
+    void pollsItsFileWhereSighupIsIgnored() throws Exception {
         try (var first = new ScriptedServer();
                 var second = new ScriptedServer();
                 var third = new ScriptedServer()) {
@@ -90,9 +99,9 @@
         }
     }
 
-    /** No Java code can receive it then: the log has to say so. */
+    /** A supervisor starts the process with SIGTERM ignored. No Java code can receive it then; the log has to say so. */
     @Test
-    void tellsThatSigtermIsIgnored() throws Exception {
+    void logsThatSigtermIsIgnored() throws Exception {
         try (var discovery = new ScriptedServer()) {
             Files.writeString(file, ProxyFixture.config(discovery.address()));
             try (var process = ProxyProcess.start(file, "trap '' TERM; ")) {
@@ -101,6 +110,7 @@
         }
     }
 
+    /** Replaces the file at once, as the platform does. */
     private void replace(String config) throws Exception {
         Path next = Files.writeString(folder.resolve("next.json"), config);
         Files.move(next, file, StandardCopyOption.ATOMIC_MOVE);
--- a/src/test/java/gaugegw/proxy/lifecycle/WarmupTest.java
+++ b/src/test/java/gaugegw/proxy/lifecycle/WarmupTest.java
@@ -14,17 +14,20 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** The warm-up goes through all that a request goes through, or it warms nothing. */
+/** The warm-up runs the code that serves a request, or it would compile nothing of use. */
 class WarmupTest {
     @Test
-    void servesWhatItAsks() throws Exception {
-        // Not all: on a slow machine some are late.
+    void servesItsRequests() throws Exception {
+        // Not all of them: on a slow machine some miss their deadline.
         assertThat(Warmup.run(ProxyConfig.parse(ProxyFixture.config()), 60_000)).isGreaterThan(1_000);
     }
 
-    /** A thread that never waits looks like one that hangs; where the CPU is scarce, so it does for long. */
+    /**
+     * The event loop has work without end, on a share of a core. A thread that never waits looks like one that hangs. So
+     * the warm-up pauses between its rounds, and the loop waits as it does in service.
+     */
     @Test
-    void waitsNowAndThen() throws Exception {
+    void letsTheEventLoopWaitBetweenRounds() throws Exception {
         ThreadMXBean threads = ManagementFactory.getThreadMXBean();
         Set<Long> before = LongStream.of(threads.getAllThreadIds()).boxed().collect(Collectors.toSet());
         var run = CompletableFuture.supplyAsync(() -> {
@@ -34,23 +37,23 @@
                 throw new CompletionException(e);
             }
         });
-        long waited = 0;
+        long waits = 0;
         while (!run.isDone()) {
             for (ThreadInfo thread : threads.getThreadInfo(threads.getAllThreadIds())) {
                 if (thread != null
                         && thread.getThreadName().startsWith("multiThreadIoEventLoop")
                         && !before.contains(thread.getThreadId())) {
-                    waited = Math.max(waited, thread.getWaitedCount());
+                    waits = Math.max(waits, thread.getWaitedCount());
                 }
             }
             Thread.sleep(1);
         }
         assertThat(run.get()).isGreaterThan(1_000);
-        assertThat(waited).isGreaterThan(20);
+        assertThat(waits).isGreaterThan(20);
     }
 
     @Test
-    void endsWhenItsTimeIsUp() throws Exception {
+    void endsAtItsTimeLimit() throws Exception {
         assertThat(Warmup.run(ProxyConfig.parse(ProxyFixture.config()), 0)).isLessThan(1_000);
     }
 }
