--- a/src/test/java/gaugegw/proxy/transport/ConnectionLimiterTest.java
+++ b/src/test/java/gaugegw/proxy/transport/ConnectionLimiterTest.java
@@ -8,24 +8,24 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What is accepted and opened at any one moment; the loop's tasks run only where a test says so. */
+/** How many connections are accepted and opened at any moment; the loop's tasks run only where a test runs them. */
 class ConnectionLimiterTest {
-    private static final int LIMIT = 128;
-    /** What the runtime and discovery need. */
-    private static final int RESERVED = 24;
+    private static final int DESCRIPTOR_LIMIT = 128;
+    /** What the runtime and discovery need, at least. */
+    private static final int RESERVED_DESCRIPTORS = 24;
 
-    /** Apart from the listener, which runs its own loop whenever it is told to read. */
+    /** Not the listener's, whose loop runs whenever it begins to read. */
     private final EmbeddedChannel loop = new EmbeddedChannel();
 
     private final EmbeddedChannel listener = new EmbeddedChannel();
-    private final ConnectionLimiter limiter = new ConnectionLimiter(loop.eventLoop(), LIMIT);
+    private final ConnectionLimiter limiter = new ConnectionLimiter(loop.eventLoop(), DESCRIPTOR_LIMIT);
     private final List<Channel> clients = new ArrayList<>();
 
-    /** Opens clients for as long as the proxy accepts any, as many in each turn as it may accept at once. */
-    private void crowd(int atOnce) {
+    /** Connects clients for as long as the proxy accepts any, so many in each turn of the loop. */
+    private void connectClients(int perTurn) {
         limiter.listener(listener);
         while (listener.config().isAutoRead()) {
-            for (int i = 0; i < atOnce; i++) {
+            for (int i = 0; i < perTurn; i++) {
                 var client = new EmbeddedChannel();
                 clients.add(client);
                 limiter.clientOpened(client);
@@ -35,43 +35,52 @@
 
     private int openBackends() {
         int opened = 0;
-        while (opened < LIMIT && limiter.admitsBackend()) {
+        while (opened < DESCRIPTOR_LIMIT && limiter.admitsBackend()) {
             limiter.backendOpened(new EmbeddedChannel());
             opened++;
         }
         return opened;
     }
 
-    /** Clients that came this instant can't be given up yet: they must not take the places of the backends either. */
+    /**
+     * Clients connect in a burst, and are too new to be evicted. They must not take the descriptors that their requests
+     * need for connections to backends.
+     */
     @Test
-    void aBurstOfClientsLeavesRoomForBackends() {
-        crowd(1);
+    void aBurstOfClientsLeavesDescriptorsForBackends() {
+        connectClients(1);
         assertThat(openBackends()).isPositive();
     }
 
     @Test
-    void staysUnderTheLimit() {
-        crowd(1);
+    void keepsWithinTheLimit() {
+        connectClients(1);
         int backends = openBackends();
         assertThat(backends + clients.stream().filter(Channel::isOpen).count())
-                .isBetween(LIMIT / 2L, (long) LIMIT - RESERVED);
+                .isBetween(DESCRIPTOR_LIMIT / 2L, (long) DESCRIPTOR_LIMIT - RESERVED_DESCRIPTORS);
     }
 
-    /** Connections to backends that were there first count against what is accepted. */
+    /**
+     * All connections to backends that the limit allows are open as clients connect in a burst. Fewer clients are
+     * accepted then.
+     */
     @Test
-    void aBurstOfClientsBesideOpenBackendsStaysUnderTheLimit() {
+    void aBurstOfClientsBesideOpenBackendsKeepsWithinTheLimit() {
         int backends = openBackends();
-        crowd(SocketTransport.MAX_ACCEPTS_PER_TURN);
+        connectClients(SocketTransport.MAX_ACCEPTS_PER_TURN);
         assertThat(clients).isNotEmpty();
-        assertThat(backends + clients.size()).isLessThanOrEqualTo(LIMIT - RESERVED);
+        assertThat(backends + clients.size()).isLessThanOrEqualTo(DESCRIPTOR_LIMIT - RESERVED_DESCRIPTORS);
     }
 
-    /** Until the selector's next turn the descriptors of closed connections are still held. */
+    /**
+     * Clients disconnect in the same turn of the loop in which connections to backends are opened. The closed ones keep
+     * their descriptors until the selector's next turn, and count until then.
+     */
     @Test
-    void closedConnectionsCountUntilTheyAreReleased() {
-        crowd(SocketTransport.MAX_ACCEPTS_PER_TURN);
+    void closedConnectionsCountUntilTheirDescriptorsAreReleased() {
+        connectClients(SocketTransport.MAX_ACCEPTS_PER_TURN);
         clients.forEach(Channel::close);
-        assertThat(openBackends() + clients.size()).isLessThanOrEqualTo(LIMIT - RESERVED);
+        assertThat(openBackends() + clients.size()).isLessThanOrEqualTo(DESCRIPTOR_LIMIT - RESERVED_DESCRIPTORS);
         assertThat(listener.config().isAutoRead()).isFalse();
         loop.runPendingTasks();
         loop.runScheduledPendingTasks();
--- a/src/test/java/gaugegw/proxy/transport/DescriptorReserveTest.java
+++ b/src/test/java/gaugegw/proxy/transport/DescriptorReserveTest.java
@@ -25,47 +25,49 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A crowd that asks for nothing keeps nobody else from a descriptor: discovery, the front's probes, requests. */
+/** Many clients without a request leave descriptors to discovery, to readiness checks and to requests. */
 class DescriptorReserveTest {
-    private static final int LIMIT = 128;
-    private static final int CROWD = 400;
-    /** What the runtime says of a descriptor that the kernel refuses. */
-    private static final String SHORTAGE = "Too many open files";
+    private static final int DESCRIPTOR_LIMIT = 128;
+    private static final int MANY_CLIENTS = 400;
+    /** The runtime's message where the kernel grants no descriptor. */
+    private static final String NO_DESCRIPTOR = "Too many open files";
 
     private static final String READY = "GET /ready HTTP/1.1\r\n\r\n";
 
-    private final List<RawConnection> crowd = new ArrayList<>();
+    private final List<RawConnection> clients = new ArrayList<>();
 
     @AfterEach
-    void dispersed() throws IOException {
-        for (RawConnection client : crowd) {
+    void disconnectClients() throws IOException {
+        for (RawConnection client : clients) {
             client.close();
         }
     }
 
-    private void crowd(int port, int size, String sent) throws IOException {
-        for (int i = 0; i < size; i++) {
+    /** Connects clients that each send a text. */
+    private void connect(int port, int count, String sent) throws IOException {
+        for (int i = 0; i < count; i++) {
             RawConnection client = RawConnection.to(port);
-            crowd.add(client);
+            clients.add(client);
             try {
                 client.send(sent);
             } catch (IOException e) {
-                // It has been evicted already.
+                // The proxy has evicted it already.
             }
         }
     }
 
+    /** Returns whether a request on a new connection is answered with a status. */
     private static boolean answers(int port, String request, int status) {
         try (RawConnection client = RawConnection.to(port)) {
-            RawConnection.Message answer = client.send(request).read();
-            return answer != null && answer.status() == status;
+            RawConnection.Message response = client.send(request).read();
+            return response != null && response.status() == status;
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** What the crowd has sent: nothing, a whole request whose answer leaves the connection idle, half a request. */
-    private static String opening(String kind) {
+    /** What a client has sent: nothing, a request whose response leaves the connection idle, or half a request. */
+    private static String sentBy(String kind) {
         return switch (kind) {
             case "silent" -> "";
             case "idle" -> READY;
@@ -73,14 +75,18 @@
         };
     }
 
+    /**
+     * Hundreds of clients connect and have no complete request in flight: they are silent, idle or in the middle of a
+     * request. Discovery may close its first call besides. The proxy gets its endpoint list and serves all the same.
+     */
     @ParameterizedTest
     @CsvSource({"silent,false", "silent,true", "idle,false", "idle,true", "half,false", "half,true"})
-    void getsItsListAndServesInACrowd(String kind, boolean refuses) throws Exception {
+    void getsItsEndpointListAndServesBesideManyClients(String kind, boolean discoveryCloses) throws Exception {
         try (var backend = new ScriptedServer();
-                var proxy = ProxyFixture.inService(LIMIT)) {
+                var proxy = ProxyFixture.inService(DESCRIPTOR_LIMIT)) {
             backend.always(ScriptedServer.ok("served"));
-            crowd(proxy.address.getPort(), CROWD, opening(kind));
-            if (refuses) {
+            connect(proxy.address.getPort(), MANY_CLIENTS, sentBy(kind));
+            if (discoveryCloses) {
                 proxy.discovery.accept().close();
             }
             proxy.settle();
@@ -93,21 +99,25 @@
         }
     }
 
-    /** What turns out to be spoilt as it is taken still holds its descriptor: another is opened only where there is room. */
+    /**
+     * Backends send bytes on idle connections in the same turn of the loop in which attempts acquire them. Such a
+     * connection is closed instead of used, but keeps its descriptor for now. Another is opened in its place only where
+     * the budget allows, so that the last of the attempts is not sent.
+     */
     @Test
     @Timeout(30)
-    void aConnectionInPlaceOfASpoiltOneNeedsRoomToo() throws Exception {
-        int backends = DescriptorBudget.of(LIMIT).maxConnections() / 2;
+    void aConnectionInPlaceOfAClosedOneNeedsADescriptorToo() throws Exception {
+        int backends = DescriptorBudget.of(DESCRIPTOR_LIMIT).maxConnections() / 2;
         int requests = backends - 1;
-        var read = new CountDownLatch(1);
-        var spoilt = new CountDownLatch(1);
+        var blockerMayEnd = new CountDownLatch(1);
+        var unrequestedBytesSent = new CountDownLatch(1);
         ProxyFixture.Module module = (event, actions) -> {
-            if (event instanceof RequestArrived a && a.requestId().equals("held")) {
-                ScriptedServer.await(read);
+            if (event instanceof RequestArrived a && a.requestId().equals("blocker")) {
+                ScriptedServer.await(blockerMayEnd);
                 actions.accept(new Reject(a.requestId(), 0));
             } else if (event instanceof RequestArrived a) {
                 if (a.requestId().startsWith("again")) {
-                    ScriptedServer.await(spoilt);
+                    ScriptedServer.await(unrequestedBytesSent);
                 }
                 ProxyFixture.sendTo("s" + a.requestId().replaceAll("\\D", "")).handle(event, actions);
             } else {
@@ -117,10 +127,10 @@
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(
                         module,
-                        LIMIT,
+                        DESCRIPTOR_LIMIT,
                         15_000_000,
                         Collections.nCopies(backends, backend).toArray(ScriptedServer[]::new))) {
-            crowd(proxy, "first", backends);
+            connectWithRequests(proxy, "first", backends);
             var attempts = new ArrayList<RawConnection>();
             for (int i = 0; i < backends; i++) {
                 attempts.add(backend.accept());
@@ -130,24 +140,24 @@
                 attempt.send(ScriptedServer.ok("x"));
                 proxy.next(AttemptEnded.class);
             }
-            long answered = System.nanoTime();
-            dispersed();
-            crowd.clear();
-            ScriptedServer.until(() -> proxy.connected() == 0 && System.nanoTime() - answered > 20_000_000);
-            crowd(proxy.address.getPort(), requests, "");
+            long answeredAtNs = System.nanoTime();
+            disconnectClients();
+            clients.clear();
+            ScriptedServer.until(() -> proxy.connected() == 0 && System.nanoTime() - answeredAtNs > 20_000_000);
+            connect(proxy.address.getPort(), requests, "");
             ScriptedServer.until(() -> proxy.connected() == requests);
-            crowd(proxy, "held", 1);
-            // All are read in one turn of the loop, and their connections spoilt in the middle of it.
+            connectWithRequests(proxy, "blocker", 1);
+            // All are read in one turn of the loop, and the backends' bytes arrive in the middle of it.
             for (int i = 0; i < requests; i++) {
-                crowd.get(i).send(ProxyFixture.patient("again" + i));
+                clients.get(i).send(ProxyFixture.patient("again" + i));
             }
-            read.countDown();
+            blockerMayEnd.countDown();
             proxy.next(RequestArrived.class);
             for (RawConnection attempt : attempts) {
-                attempt.send("not asked for");
+                attempt.send("not requested");
             }
             backend.always(ScriptedServer.ok("x"));
-            spoilt.countDown();
+            unrequestedBytesSent.countDown();
             var outcomes = new ArrayList<AttemptOutcome>();
             for (int i = 0; i < requests; i++) {
                 outcomes.add(proxy.next(AttemptEnded.class).outcome());
@@ -156,23 +166,26 @@
         }
     }
 
-    /** Clients with a request each, all of which have arrived. */
-    private void crowd(ProxyFixture proxy, String name, int size) throws Exception {
-        for (int i = 0; i < size; i++) {
-            crowd(proxy.address.getPort(), 1, ProxyFixture.patient(size == 1 ? name : name + i));
+    /** Connects clients that each send a request, and waits until all requests have arrived. */
+    private void connectWithRequests(ProxyFixture proxy, String name, int count) throws Exception {
+        for (int i = 0; i < count; i++) {
+            connect(proxy.address.getPort(), 1, ProxyFixture.patient(count == 1 ? name : name + i));
             proxy.next(RequestArrived.class);
         }
     }
 
-    /** The kernel is the witness: one descriptor too many fails, and the failure is logged. */
+    /**
+     * Many clients of each kind connect while all connections to backends are open. The kernel enforces the limit: were
+     * one descriptor too many wanted, an open would fail and be logged.
+     */
     @Test
-    void theProcessStaysUnderItsLimit(@TempDir Path folder) throws Exception {
-        int most = LIMIT + ProxyProcess.FURTHER_JARS;
+    void theProcessKeepsWithinItsLimit(@TempDir Path folder) throws Exception {
+        int maxDescriptors = DESCRIPTOR_LIMIT + ProxyProcess.FURTHER_JARS;
         try (var backend = new ScriptedServer();
                 var discovery = new ScriptedServer();
-                var proxy = start(folder, config(discovery, LIMIT), most)) {
+                var proxy = start(folder, config(discovery, DESCRIPTOR_LIMIT), maxDescriptors)) {
             backend.always(ScriptedServer.ok("served"));
-            String[] entries = IntStream.range(0, LIMIT)
+            String[] entries = IntStream.range(0, DESCRIPTOR_LIMIT)
                     .mapToObj(i -> ProxyFixture.entry("s" + i, backend.address(), "ready"))
                     .toArray(String[]::new);
             discovery.always(ScriptedServer.ok(ProxyFixture.list(42, true, entries)));
@@ -183,57 +196,63 @@
             var requests = new int[1];
             ScriptedServer.until(() -> {
                 answers(port, ProxyFixture.get("r" + requests[0]++), 200);
-                return proxy.descriptors() > most - LIMIT / 2;
+                return proxy.descriptors() > maxDescriptors - DESCRIPTOR_LIMIT / 2;
             });
             for (String kind : List.of("silent", "half", "idle")) {
-                crowd(port, CROWD, opening(kind));
-                assertThat(proxy.descriptors()).isLessThanOrEqualTo(most);
+                connect(port, MANY_CLIENTS, sentBy(kind));
+                assertThat(proxy.descriptors()).isLessThanOrEqualTo(maxDescriptors);
                 ScriptedServer.until(() -> answers(port, ProxyFixture.get(kind), 200));
             }
-            assertThat(proxy.logs(SHORTAGE)).isFalse();
+            assertThat(proxy.logs(NO_DESCRIPTOR)).isFalse();
         }
     }
 
-    /** The log of the failure is written by a process that can't open any file for it. */
+    /**
+     * The kernel grants far fewer descriptors than the configuration states, and clients use them up. The process logs
+     * the failure, although it can't open any file for that, and serves again once the clients have disconnected.
+     */
     @Test
     void aLackOfDescriptorsDoesNotEndTheProcess(@TempDir Path folder) throws Exception {
         try (var discovery = new ScriptedServer();
-                var proxy = starved(folder, discovery)) {
+                var proxy = startWithTooFewDescriptors(folder, discovery)) {
             int port = proxy.port();
-            crowd(port, LIMIT, "");
-            proxy.awaitLog(SHORTAGE);
-            dispersed();
+            connect(port, DESCRIPTOR_LIMIT, "");
+            proxy.awaitLog(NO_DESCRIPTOR);
+            disconnectClients();
             ScriptedServer.until(() -> answers(port, READY, 503));
         }
     }
 
-    /** However the descriptors ran out, discovery is asked again once there are some. */
+    /**
+     * Clients use up all descriptors, and the call to discovery ends. The next call finds no descriptor and fails; it is
+     * repeated, and gets through once the clients have disconnected.
+     */
     @Test
-    void aCallWithoutADescriptorIsMadeAgain(@TempDir Path folder) throws Exception {
+    void aCallToDiscoveryWithoutADescriptorIsRetried(@TempDir Path folder) throws Exception {
         try (var discovery = new ScriptedServer();
-                var proxy = starved(folder, discovery)) {
+                var proxy = startWithTooFewDescriptors(folder, discovery)) {
             int port = proxy.port();
-            RawConnection call = discovery.accept();
-            call.read();
-            crowd(port, LIMIT, "");
-            ScriptedServer.until(() -> proxy.descriptors() == LIMIT / 2);
-            call.close();
+            RawConnection watch = discovery.accept();
+            watch.read();
+            connect(port, DESCRIPTOR_LIMIT, "");
+            ScriptedServer.until(() -> proxy.descriptors() == DESCRIPTOR_LIMIT / 2);
+            watch.close();
             proxy.awaitLog("no connection");
-            dispersed();
+            disconnectClients();
             assertThat(discovery.accept().read()).isNotNull();
         }
     }
 
-    /** Starts a proxy that is told of far more descriptors than it gets. */
-    private static ProxyProcess starved(Path folder, ScriptedServer discovery) throws IOException {
-        return start(folder, config(discovery, 1_024), LIMIT / 2);
+    /** Starts a proxy whose configuration states far more descriptors than the kernel grants. */
+    private static ProxyProcess startWithTooFewDescriptors(Path folder, ScriptedServer discovery) throws IOException {
+        return start(folder, config(discovery, 1_024), DESCRIPTOR_LIMIT / 2);
     }
 
     private static ProxyProcess start(Path folder, String config, int descriptors) throws IOException {
         return ProxyProcess.start(Files.writeString(folder.resolve("config.json"), config), descriptors);
     }
 
-    private static String config(ScriptedServer discovery, int limit) {
-        return ProxyFixture.config(discovery.address()).replace("\"sockets\":1024", "\"sockets\":" + limit);
+    private static String config(ScriptedServer discovery, int descriptorLimit) {
+        return ProxyFixture.config(discovery.address()).replace("\"sockets\":1024", "\"sockets\":" + descriptorLimit);
     }
 }
