--- a/src/main/java/gaugegw/proxy/config/InvalidConfigException.java
+++ b/src/main/java/gaugegw/proxy/config/InvalidConfigException.java
@@ -6,7 +6,7 @@
 public final class InvalidConfigException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Stands for the field where the configuration as a whole can't be read, and for what isn't known. */
+    /** Stands for the field where the complete configuration can't be read, and for what isn't known. */
     private static final String NONE = "";
 
     private final String field;
--- a/src/main/java/gaugegw/proxy/lifecycle/ServeCommand.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/ServeCommand.java
@@ -19,7 +19,7 @@
 
     /**
      * Time limit of the warm-up at a first start, in milliseconds. Clients are admitted only once it is over, and a
-     * restart whose endpoint list has never changed can't be told from a first start: without the limit, such a restart
+     * restart whose endpoint list has never changed looks like a first start: without the limit, such a restart
      * would not be ready in time.
      */
     static final long WARMUP_LIMIT_MS = READY_WITHIN_MS - RUNTIME_START_MS - EndpointWatcher.FIRST_SERVICE_TIMEOUT_MS;
--- a/src/main/java/gaugegw/proxy/lifecycle/SignalHandlers.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/SignalHandlers.java
@@ -13,19 +13,21 @@
  * which starts the shutdown hooks, is missing too.
  */
 final class SignalHandlers {
-    /** Reload of the configuration. */
+    /** SIGHUP: the configuration is to be reloaded. */
     static final String RELOAD = "HUP";
 
-    /** Orderly termination. */
+    /** SIGTERM: the process is to drain and end. */
     static final String TERMINATE = "TERM";
 
     private SignalHandlers() {}
 
     /**
-     * Has each signal of a name run an action, on a thread of its own, in place of what the runtime does.
+     * Runs an action at each signal of a name, in place of what the runtime does. The runtime makes a thread for each
+     * signal, so that two of them may run the action at once, and the action may block.
      *
      * @param name without the prefix {@code SIG}
      * @return false if the signal is inherited as ignored: the action never runs
+     * @throws IllegalStateException if this runtime can't handle the signal
      */
     static boolean install(String name, Runnable action) {
         try {
--- a/src/main/java/gaugegw/proxy/lifecycle/package-info.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The life of one proxy process: its commands, start, warm-up, reload, graceful shutdown and end.
+ * The lifecycle of one proxy process: its commands, start, warm-up, reload, graceful shutdown and end.
  *
  * <p>Depends on all other packages of the proxy; only {@link gaugegw.Main} depends on it.
  *
--- a/src/test/java/gaugegw/proxy/lifecycle/ServeCommandTest.java
+++ b/src/test/java/gaugegw/proxy/lifecycle/ServeCommandTest.java
@@ -8,7 +8,7 @@
 /** The times of a start. */
 class ServeCommandTest {
     /**
-     * A proxy restarts whose endpoint list has never changed. It can't be told from one that starts for the first time,
+     * A proxy restarts whose endpoint list has never changed. It looks like one that starts for the first time,
      * and is warmed up like that one. It has to be ready in time all the same: runtime, warm-up and the first call to
      * discovery together take no longer than a restart may.
      */
