--- a/src/main/java/gaugegw/proxy/dispatch/ActionExecutor.java
+++ b/src/main/java/gaugegw/proxy/dispatch/ActionExecutor.java
@@ -9,7 +9,7 @@
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
 
-/** Executes the load balancer's actions: the one place where an {@link Action} is told by its type. Event loop only. */
+/** Executes the load balancer's actions; the one place that dispatches on the type of an {@link Action}. Event loop only. */
 final class ActionExecutor {
     private final Clock clock;
     private final EventLoop loop;
--- a/src/main/java/gaugegw/proxy/dispatch/package-info.java
+++ b/src/main/java/gaugegw/proxy/dispatch/package-info.java
@@ -9,7 +9,7 @@
  *       becomes an {@link gaugegw.balancer.api.Event}.
  *   <li>{@code EventQueue} hands it to the load balancer, one event at a time.
  *   <li>{@code ActionExecutor} executes the actions that the load balancer gives, in their order. It is the one place
- *       where actions are told by their types; {@code AttemptStarter} does what concerns attempts.
+ *       that dispatches on their types; {@code AttemptStarter} does what concerns attempts.
  *   <li>An action may cause further events, as an attempt that cannot begin ends at once. Such an event waits in the queue
  *       until all actions of the event before it have been executed.
  * </ol>
--- a/src/test/java/gaugegw/proxy/dispatch/RequestDispatcherTest.java
+++ b/src/test/java/gaugegw/proxy/dispatch/RequestDispatcherTest.java
@@ -15,29 +15,33 @@
 import gaugegw.proxy.testing.ScriptedServer;
 import org.junit.jupiter.api.Test;
 
-/** What the proxy does round the module, whatever the module does. */
+/** What the proxy guarantees whatever the load balancer does, and how it executes actions. */
 class RequestDispatcherTest {
-    /** Rule 1: a request that the module forgets is answered all the same, before its client gives up. */
+    /**
+     * The load balancer takes a request and never answers it. The proxy fails the request at its deadline, so that the
+     * client has a response before it gives up, and reports the client as gone.
+     */
     @Test
-    void answersInTimeWhateverTheModuleDoes() throws Exception {
+    void failsARequestThatTheLoadBalancerNeverAnswers() throws Exception {
         try (var proxy = new ProxyFixture((event, actions) -> {});
                 var client = proxy.client()) {
-            long sent = System.nanoTime();
-            RawConnection.Message answer = client.send(ProxyFixture.get("r1").replace("1900m", "300000u"))
+            long sentNanos = System.nanoTime();
+            RawConnection.Message response = client.send(ProxyFixture.get("r1").replace("1900m", "300000u"))
                     .read();
-            assertThat(answer.status()).isEqualTo(502);
-            assertThat(System.nanoTime() - sent).isGreaterThan(200_000_000L);
+            assertThat(response.status()).isEqualTo(502);
+            assertThat(System.nanoTime() - sentNanos).isGreaterThan(200_000_000L);
             assertThat(proxy.next(ClientDisconnected.class).requestId()).isEqualTo("r1");
         }
     }
 
+    /** The load balancer throws on a request. That request fails, and the next one is served as usual. */
     @Test
-    void anErrorInTheModuleCostsOneRequest() throws Exception {
+    void anExceptionInTheLoadBalancerFailsOnlyItsRequest() throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(
                         (event, actions) -> {
-                            if (event instanceof RequestArrived a
-                                    && a.requestId().equals("bad")) {
+                            if (event instanceof RequestArrived arrived
+                                    && arrived.requestId().equals("bad")) {
                                 throw new IllegalStateException("as the test wants it");
                             }
                             ProxyFixture.sendTo("s0").handle(event, actions);
@@ -50,40 +54,44 @@
         }
     }
 
-    /** Rule 2: no attempt goes out beside another, and none once the request is over or has had its tries. */
+    /**
+     * The load balancer starts two more attempts while the first is in flight, though hedging is not allowed. Both end as
+     * not sent, under their own numbers, and the first is served.
+     */
     @Test
-    void sendsNoSecondCopy() throws Exception {
+    void startsNoHedgedRequestWhereHedgingIsNotAllowed() throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(
                         (event, actions) -> {
-                            if (event instanceof RequestArrived a) {
-                                actions.accept(new StartAttempt(a.requestId(), "s0", 0));
-                                actions.accept(new StartAttempt(a.requestId(), "s0", 0));
-                                actions.accept(new StartAttempt(a.requestId(), "unknown", 0));
+                            if (event instanceof RequestArrived arrived) {
+                                actions.accept(new StartAttempt(arrived.requestId(), "s0", 0));
+                                actions.accept(new StartAttempt(arrived.requestId(), "s0", 0));
+                                actions.accept(new StartAttempt(arrived.requestId(), "unknown", 0));
                             }
                         },
                         backend);
                 var client = proxy.client()) {
-            RawConnection first = backend.attemptFor(client, "r1");
+            RawConnection firstAttempt = backend.attemptFor(client, "r1");
             for (int number = 1; number <= 2; number++) {
                 AttemptEnded end = proxy.next(AttemptEnded.class);
                 assertThat(end.attempt()).isEqualTo(number);
                 assertThat(end.outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
                 assertThat(end.requestEnded()).isFalse();
             }
-            first.send(ScriptedServer.ok("x"));
+            firstAttempt.send(ScriptedServer.ok("x"));
             assertThat(client.read().status()).isEqualTo(200);
             assertThat(proxy.next(AttemptEnded.class).requestEnded()).isTrue();
         }
     }
 
+    /** The client disconnects, and the load balancer cancels its attempt: the connection to the backend is closed. */
     @Test
-    void cancelsWhenTheModuleSaysSo() throws Exception {
+    void cancelsAnAttemptWhenTheLoadBalancerDemandsIt() throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(
                         (event, actions) -> {
-                            if (event instanceof ClientDisconnected g) {
-                                actions.accept(new CancelAttempt(g.requestId(), 0));
+                            if (event instanceof ClientDisconnected disconnected) {
+                                actions.accept(new CancelAttempt(disconnected.requestId(), 0));
                             }
                             ProxyFixture.sendTo("s0").handle(event, actions);
                         },
@@ -102,11 +110,11 @@
     }
 
     @Test
-    void timersFireOnTheProxysClock() throws Exception {
-        var set = new boolean[1];
+    void firesTimersOnTheProxysClock() throws Exception {
+        var timerSet = new boolean[1];
         try (var proxy = new ProxyFixture((event, actions) -> {
-            if (!set[0]) {
-                set[0] = true;
+            if (!timerSet[0]) {
+                timerSet[0] = true;
                 actions.accept(new SetTimer(0, "due"));
             }
         })) {
--- a/src/test/java/gaugegw/proxy/dispatch/SimultaneousEventsTest.java
+++ b/src/test/java/gaugegw/proxy/dispatch/SimultaneousEventsTest.java
@@ -19,32 +19,40 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Two things that happen at once: the loop is held up until both have, and then finds them together. */
+/**
+ * Two things that happen at once. The load balancer blocks the event loop until both have happened, so that the loop finds
+ * them together when it goes on.
+ */
 class SimultaneousEventsTest {
-    /** Sends as {@link ProxyFixture#sendTo} does, and stands still when a request arrives that is named so. */
-    private static ProxyFixture.Module standingStillAt(String id, CountDownLatch goOn, long firstTimeoutUs) {
+    /** Forwards as {@link ProxyFixture#sendTo} does, and blocks the event loop when the request of this id arrives. */
+    private static ProxyFixture.Module blockingAt(String blockingId, CountDownLatch unblock, long firstTimeoutUs) {
         return (event, actions) -> {
-            if (event instanceof RequestArrived a && a.requestId().equals(id)) {
-                ScriptedServer.await(goOn);
+            if (event instanceof RequestArrived arrived && arrived.requestId().equals(blockingId)) {
+                ScriptedServer.await(unblock);
             }
-            boolean first = event instanceof RequestArrived a && a.requestId().equals("r1");
+            boolean first = event instanceof RequestArrived arrived
+                    && arrived.requestId().equals("r1");
             ProxyFixture.sendTo("s0", first ? firstTimeoutUs : 0).handle(event, actions);
         };
     }
 
-    private static void arrived(ProxyFixture proxy, String id) throws InterruptedException {
+    private static void awaitArrival(ProxyFixture proxy, String id) throws InterruptedException {
         while (!proxy.next(RequestArrived.class).requestId().equals(id)) {
-            // those before it
+            // an earlier request
         }
     }
 
-    /** What has come by then, the loop has not read: a connection that brings anything, or has ended, carries nothing more. */
+    /**
+     * A backend sends something unexpected on a pooled connection, or closes it, while the event loop is blocked; so the
+     * loop has not read it when the next request needs a connection. The request goes over a new connection: on the old
+     * one the unexpected bytes would pass for its response.
+     */
     @ParameterizedTest
-    @ValueSource(strings = {"second answer", "half a line", "close", "reset"})
-    void somethingComesAsAConnectionIsUsedAgain(String what) throws Exception {
-        var goOn = new CountDownLatch(1);
+    @ValueSource(strings = {"second response", "partial status line", "close", "reset"})
+    void aPooledConnectionWithUnreadInputIsNotReused(String input) throws Exception {
+        var unblock = new CountDownLatch(1);
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(standingStillAt("r2", goOn, 0), ProxyFixture.PATIENT, backend);
+                var proxy = new ProxyFixture(blockingAt("r2", unblock, 0), ProxyFixture.PATIENT, backend);
                 var client = proxy.client()) {
             client.send(ProxyFixture.patient("r1"));
             RawConnection attempt = backend.accept();
@@ -52,12 +60,12 @@
             attempt.send(ScriptedServer.ok("x"));
             assertThat(client.read().status()).isEqualTo(200);
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.SUCCESS);
-            long answered = System.nanoTime();
+            long answeredNanos = System.nanoTime();
             client.send(ProxyFixture.patient("r2"));
-            arrived(proxy, "r2");
-            switch (what) {
-                case "second answer" -> attempt.send(ScriptedServer.ok("not asked for"));
-                case "half a line" -> attempt.send("HTTP/1.");
+            awaitArrival(proxy, "r2");
+            switch (input) {
+                case "second response" -> attempt.send(ScriptedServer.ok("not asked for"));
+                case "partial status line" -> attempt.send("HTTP/1.");
                 case "close" -> attempt.close();
                 default -> {
                     attempt.socket.setSoLinger(true, 0);
@@ -65,9 +73,9 @@
                 }
             }
             // A connection may be used again once it has been idle for some milliseconds.
-            ScriptedServer.until(() -> System.nanoTime() - answered > 20_000_000);
+            ScriptedServer.until(() -> System.nanoTime() - answeredNanos > 20_000_000);
             backend.always(ScriptedServer.ok("y"));
-            goOn.countDown();
+            unblock.countDown();
             assertThat(client.read().body()).isEqualTo("y");
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.SUCCESS);
             proxy.settle();
@@ -75,26 +83,29 @@
         }
     }
 
-    /** Whichever is seen first counts, and it alone: one outcome for the module, one answer for the client. */
+    /**
+     * The response of an attempt arrives at the moment at which the attempt times out. Whichever the loop sees first
+     * counts alone: the load balancer has one outcome and the client one response.
+     */
     @Test
-    void anAnswerComesAsItsTimeOutFires() throws Exception {
-        var goOn = new CountDownLatch(1);
+    void aResponseArrivesAsItsAttemptTimesOut() throws Exception {
+        var unblock = new CountDownLatch(1);
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(standingStillAt("other", goOn, 100_000), ProxyFixture.PATIENT, backend);
+                var proxy = new ProxyFixture(blockingAt("other", unblock, 100_000), ProxyFixture.PATIENT, backend);
                 var client = proxy.client();
                 var other = proxy.client()) {
             client.send(ProxyFixture.patient("r1"));
             RawConnection attempt = backend.accept();
             attempt.read();
-            long sent = System.nanoTime();
+            long sentNanos = System.nanoTime();
             other.send(ProxyFixture.patient("other"));
-            arrived(proxy, "other");
+            awaitArrival(proxy, "other");
             attempt.send(ScriptedServer.ok("x"));
-            ScriptedServer.until(() -> System.nanoTime() - sent > 150_000_000);
+            ScriptedServer.until(() -> System.nanoTime() - sentNanos > 150_000_000);
             backend.always(ScriptedServer.ok("y"));
-            // Where it is not given up it is used again.
+            // The connection is reused unless the attempt was aborted.
             attempt.always(ScriptedServer.ok("y"), new ArrayDeque<>());
-            goOn.countDown();
+            unblock.countDown();
             AttemptEnded end = proxy.next(AttemptEnded.class);
             assertThat(end.requestId()).isEqualTo("r1");
             assertThat(end.outcome()).isIn(AttemptOutcome.SUCCESS, AttemptOutcome.TIMEOUT);
@@ -103,29 +114,32 @@
             proxy.settle();
             assertThat(proxy.events).noneMatch(AttemptEnded.class::isInstance);
             assertThat(proxy.held()).isZero();
-            // And nothing that came late is the next one's answer.
+            // A late response of the first request must not become that of the next one.
             assertThat(client.send(ProxyFixture.patient("r3")).read().body()).isEqualTo("y");
         }
     }
 
-    /** Nothing is owed to the client, but the module hears of the attempt once, and nothing is kept. */
+    /**
+     * A client closes or resets its connection at the moment at which its response arrives. The load balancer is notified
+     * of the end of the attempt exactly once, and the proxy keeps nothing of the request.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aClientLeavesAsItsAnswerComes(boolean reset) throws Exception {
-        var goOn = new CountDownLatch(1);
+    void aClientDisconnectsAsItsResponseArrives(boolean reset) throws Exception {
+        var unblock = new CountDownLatch(1);
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(standingStillAt("other", goOn, 0), ProxyFixture.PATIENT, backend);
+                var proxy = new ProxyFixture(blockingAt("other", unblock, 0), ProxyFixture.PATIENT, backend);
                 var other = proxy.client()) {
             RawConnection client = proxy.client().send(ProxyFixture.patient("r1"));
             RawConnection attempt = backend.accept();
             attempt.read();
             other.send(ProxyFixture.patient("other"));
-            arrived(proxy, "other");
+            awaitArrival(proxy, "other");
             attempt.send(ScriptedServer.ok("x"));
             client.socket.setSoLinger(reset, 0);
             client.close();
             backend.always(ScriptedServer.ok("y"));
-            goOn.countDown();
+            unblock.countDown();
             AttemptEnded end = proxy.next(AttemptEnded.class);
             assertThat(end.requestId()).isEqualTo("r1");
             assertThat(end.outcome()).isEqualTo(AttemptOutcome.SUCCESS);
@@ -134,22 +148,25 @@
             proxy.settle();
             assertThat(proxy.events).noneMatch(AttemptEnded.class::isInstance);
             assertThat(proxy.held()).isZero();
-            // Two of them: the one that asked just now may not be gone yet.
+            // One is left; the connection of settle() may take a moment to be closed.
             ScriptedServer.until(() -> proxy.connected() == 1);
         }
     }
 
-    /** What a backend has done is the client's, but its connection is not kept for what it no longer wants. */
+    /**
+     * A response arrives at the moment at which discovery lists its endpoint as draining. The client gets the response,
+     * but the connection is closed and no further attempt begins on that endpoint.
+     */
     @Test
-    void anAnswerComesAsItsBackendBeginsToDrain() throws Exception {
-        var goOn = new CountDownLatch(1);
+    void aResponseArrivesAsItsEndpointBeginsToDrain() throws Exception {
+        var unblock = new CountDownLatch(1);
         ProxyFixture.Module watching = ProxyFixture.watching("s0");
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(
                         (event, actions) -> {
-                            if (event instanceof RequestArrived a
-                                    && a.requestId().equals("other")) {
-                                ScriptedServer.await(goOn);
+                            if (event instanceof RequestArrived arrived
+                                    && arrived.requestId().equals("other")) {
+                                ScriptedServer.await(unblock);
                             } else {
                                 watching.handle(event, actions);
                             }
@@ -164,11 +181,11 @@
             RawConnection attempt = backend.accept();
             attempt.read();
             other.send(ProxyFixture.patient("other"));
-            arrived(proxy, "other");
+            awaitArrival(proxy, "other");
             attempt.send(ScriptedServer.ok("x"));
             watch.send(ScriptedServer.ok(
                     ProxyFixture.list(42, false, ProxyFixture.entry("s0", backend.address(), "draining"))));
-            goOn.countDown();
+            unblock.countDown();
             assertThat(client.read().body()).isEqualTo("x");
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.SUCCESS);
             assertThat(attempt.ended()).isTrue();
@@ -178,36 +195,41 @@
         }
     }
 
-    /** With the module that is in service: what waited when a backend began to drain goes elsewhere. */
+    /**
+     * Requests are queued in the load balancer that runs in service when their endpoint begins to drain and another one
+     * becomes ready. However late capacity becomes free, all of them go to the ready endpoint.
+     */
     @Test
-    void aChangeIsToldWhileRequestsWait() throws Exception {
+    void anEndpointDrainsWhileRequestsAreQueued() throws Exception {
         var clients = new ArrayList<RawConnection>();
         try (var backend = new ScriptedServer();
-                var other = new ScriptedServer();
+                var readyBackend = new ScriptedServer();
                 var proxy = ProxyFixture.inService(ProxyFixture.PATIENT, backend)) {
             while (clients.size() < proxy.sends.size() + 2) {
                 clients.add(proxy.client().send(ProxyFixture.patient("r" + clients.size())));
                 proxy.next(RequestArrived.class);
                 proxy.settle();
             }
-            int sent = proxy.sends.size();
+            int sentCount = proxy.sends.size();
             proxy.list(
                     ProxyFixture.entry("s0", backend.address(), "draining"),
-                    ProxyFixture.entry("s1", other.address(), "ready"));
-            other.always(ScriptedServer.ok("x"));
+                    ProxyFixture.entry("s1", readyBackend.address(), "ready"));
+            readyBackend.always(ScriptedServer.ok("x"));
             while (proxy.next(EndpointUpdate.class).kind() != UpdateKind.DELTA) {
-                // what it had in its last life
+                // the cached list
             }
             proxy.settle();
-            // Those that are out end: for what waits there is room then, however long that took.
-            for (RawConnection client : clients.subList(0, sent)) {
+            // The attempts in flight end, which makes capacity for the queued requests.
+            for (RawConnection client : clients.subList(0, sentCount)) {
                 backend.accept();
                 client.close();
                 proxy.next(AttemptEnded.class);
             }
             proxy.settle();
-            List<StartAttempt> later = List.copyOf(proxy.sends).subList(sent, proxy.sends.size());
-            assertThat(later).isNotEmpty().allMatch(s -> s.endpointId().equals("s1"));
+            List<StartAttempt> laterAttempts = List.copyOf(proxy.sends).subList(sentCount, proxy.sends.size());
+            assertThat(laterAttempts)
+                    .isNotEmpty()
+                    .allMatch(start -> start.endpointId().equals("s1"));
         } finally {
             for (RawConnection client : clients) {
                 client.close();
