--- a/src/main/java/gaugegw/proxy/discovery/EndpointWatcher.java
+++ b/src/main/java/gaugegw/proxy/discovery/EndpointWatcher.java
@@ -50,7 +50,7 @@
     private final Transport transport;
     private final RateLimitedLog log;
     private final EndpointUpdateListener updateListener;
-    private final boolean pushed;
+    private final boolean hasLocalAgent;
     private final long holdMs;
     private final long firstTimeoutMs;
     private final long timeoutMs;
@@ -77,12 +77,12 @@
         this.updateListener = updateListener;
         this.address = address;
         this.random = new SplittableRandom(settings.seed());
-        this.pushed = !settings.limits().endpointsArePolled();
-        this.firstTimeoutMs = pushed ? FIRST_AGENT_TIMEOUT_MS : FIRST_SERVICE_TIMEOUT_MS;
-        this.timeoutMs = pushed ? AGENT_TIMEOUT_MS : SERVICE_TIMEOUT_MS;
+        this.hasLocalAgent = !settings.limits().endpointsArePolled();
+        this.firstTimeoutMs = hasLocalAgent ? FIRST_AGENT_TIMEOUT_MS : FIRST_SERVICE_TIMEOUT_MS;
+        this.timeoutMs = hasLocalAgent ? AGENT_TIMEOUT_MS : SERVICE_TIMEOUT_MS;
         // A call whose other end has vanished looks like one that waits: until its answer is overdue no news comes.
         // Never more than twice the time within which a proxy has to ask.
-        long share = pushed ? MIN_HOLD_MS : Math.max(MIN_HOLD_MS, HOLD_PER_PROXY_MS * settings.proxyCount());
+        long share = hasLocalAgent ? MIN_HOLD_MS : Math.max(MIN_HOLD_MS, HOLD_PER_PROXY_MS * settings.proxyCount());
         this.holdMs = Math.min(
                 Math.min(MAX_HOLD_MS, share), 2 * settings.safetyLimits().pollIntervalUs() / 1_000);
     }
@@ -93,8 +93,8 @@
     }
 
     /** Returns whether there is an agent, which answers at once; what it has counts as told before it is asked. */
-    public boolean pushed() {
-        return pushed;
+    public boolean hasLocalAgent() {
+        return hasLocalAgent;
     }
 
     /** Takes in the list that this proxy had in its last life, if any; the module begins with this. */
@@ -102,7 +102,7 @@
         EndpointList cached = EndpointList.cached(list, log);
         version = cached.version();
         updateListener.endpointsUpdated(UpdateKind.CACHED, cached.endpoints());
-        if (pushed) {
+        if (hasLocalAgent) {
             watch(true);
         }
     }
@@ -196,7 +196,7 @@
         log.line("discovery: " + reason);
         call = null;
         firstCallEnded.trySuccess(null);
-        if (pushed) {
+        if (hasLocalAgent) {
             loop.schedule(this::retryAgent, AGENT_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         } else {
             updateListener.endpointsUpdated(UpdateKind.POLL_FAILED, List.of());
--- a/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
@@ -95,7 +95,7 @@
     /** Loads the cached endpoints and listens. Returns the bind, which may have failed. */
     ChannelFuture listen() {
         loop.execute(() -> endpointWatcher.loadCachedEndpoints(config.cachedEndpoints()));
-        if (endpointWatcher.pushed()) {
+        if (endpointWatcher.hasLocalAgent()) {
             // A pushed update binds a proxy from its first request on, so no client may be accepted before its arrival.
             endpointWatcher.firstCallEnded().awaitUninterruptibly();
         }
