--- a/src/main/java/gaugegw/proxy/discovery/DiscoveryCall.java
+++ b/src/main/java/gaugegw/proxy/discovery/DiscoveryCall.java
@@ -1,6 +1,5 @@
 package gaugegw.proxy.discovery;
 
-import gaugegw.proxy.logging.RateLimitedLog;
 import gaugegw.proxy.transport.Transport;
 import io.netty.buffer.ByteBufInputStream;
 import io.netty.channel.Channel;
@@ -26,69 +25,64 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One HTTP call to discovery, on a connection of its own: a few in a minute are not worth keeping any. It ends once, on
- * the event loop: with a list, with a failure, or silently where it is cancelled.
+ * One HTTP call to discovery, on a connection of its own: calls are too few for a pool. It ends once, on the event loop:
+ * with a list, with a failure, or without notice where it is cancelled. The connection is closed by then.
  */
-final class DiscoveryCall extends SimpleChannelInboundHandler<FullHttpResponse> {
-    private static final String PATH = "/v1/endpoints";
-    private static final int MAX_ANSWER_BYTES = 8 * 1024 * 1024;
+final class DiscoveryCall {
+    private static final int MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
-    /** Hears how a call has ended. */
+    /** Is notified of the end of a call, on the event loop. */
     interface Listener {
-        void answered(DiscoveryCall call, EndpointList list);
+        void succeeded(DiscoveryCall call, EndpointList list);
 
-        void failed(DiscoveryCall call, String reason);
-    }
-
-    /**
-     * What a call asks for.
-     *
-     * @param from the version that the proxy has; {@link EndpointList#NO_VERSION} asks for the whole list, at once
-     * @param holdMs how long discovery may wait for something newer, in milliseconds
-     * @param timeoutMs time beyond that within which the answer has to be there, in milliseconds; also the time within
-     *     which the connection has to come up, and the rest of an answer that has begun
-     */
-    record Query(long from, long holdMs, long timeoutMs) {
-        boolean asksForWholeList() {
-            return from < 0;
-        }
-
-        /** Returns whether a list can be taken in: changes have to follow on the version that was asked from. */
-        boolean isAnsweredBy(EndpointList list) {
-            return list.full() || (!asksForWholeList() && list.version() >= from);
-        }
-
-        private String uri() {
-            return asksForWholeList() ? PATH : PATH + "?from=" + from + "&hold_ms=" + holdMs;
-        }
+        void failed(DiscoveryCall call, DiscoveryFailure failure);
     }
 
     private final Transport transport;
-    private final RateLimitedLog log;
+    private final EndpointListParser parser;
     private final InetSocketAddress address;
-    private final Query query;
+    private final DiscoveryQuery query;
     private final Listener listener;
-    private ScheduledFuture<?> timer;
+    private ScheduledFuture<?> timeout;
     private Channel channel;
-    private boolean answerStarted;
+    private boolean responseStarted;
     private boolean ended;
 
-    DiscoveryCall(Transport transport, RateLimitedLog log, InetSocketAddress address, Query query, Listener listener) {
+    /** Creates a call that is yet to be started. */
+    DiscoveryCall(
+            Transport transport,
+            EndpointListParser parser,
+            InetSocketAddress address,
+            DiscoveryQuery query,
+            Listener listener) {
         this.transport = transport;
-        this.log = log;
+        this.parser = parser;
         this.address = address;
         this.query = query;
         this.listener = listener;
     }
 
-    Query query() {
+    DiscoveryQuery query() {
         return query;
     }
 
+    /** Connects and sends the request. Called once, on the event loop. */
     void start() {
-        // Guards against a discovery that is cut off and says nothing: TCP alone would never tell.
-        timeOutIn(query.holdMs() + query.timeoutMs());
-        ChannelFuture connect = transport
+        assert transport.loop().inEventLoop();
+        // Guards against a discovery that is cut off and stays silent: TCP would never report it.
+        scheduleTimeout(query.totalTimeoutMs());
+        ChannelFuture connect = connect();
+        channel = connect.channel();
+        connect.addListener(f -> {
+            if (!f.isSuccess()) {
+                // Another thread than the event loop, where no channel could be made as descriptors have run out.
+                transport.loop().execute(() -> fail(new DiscoveryFailure.ConnectFailed()));
+            }
+        });
+    }
+
+    private ChannelFuture connect() {
+        return transport
                 .client()
                 .clone()
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, Math.toIntExact(query.timeoutMs()))
@@ -97,98 +91,96 @@
                     protected void initChannel(Channel ch) {
                         ch.pipeline()
                                 .addLast(
-                                        new AnswerStart(),
+                                        new ResponseStartHandler(),
                                         new HttpClientCodec(),
-                                        new HttpObjectAggregator(MAX_ANSWER_BYTES),
-                                        DiscoveryCall.this);
+                                        new HttpObjectAggregator(MAX_RESPONSE_BYTES),
+                                        new ExchangeHandler());
                     }
                 })
                 .connect(transport.address(address));
-        channel = connect.channel();
-        connect.addListener(f -> {
-            if (!f.isSuccess()) {
-                // Where no channel could be made, as descriptors have run out, this is another thread.
-                transport.loop().execute(() -> fail("no connection"));
-            }
-        });
     }
 
-    /** Ends the call without a word to its listener. */
+    /** Ends the call without a notice to its listener. Does nothing more where it has ended. */
     void cancel() {
         ended = true;
-        timer.cancel(false);
-        // One that could not be made has no event loop to be closed on.
+        timeout.cancel(false);
+        // A channel that could not be made has no event loop to be closed on.
         if (channel.isOpen()) {
             channel.close();
         }
     }
 
-    private void timeOutIn(long delayMs) {
-        timer = transport.loop().schedule(() -> fail("no answer in time"), delayMs, TimeUnit.MILLISECONDS);
+    private void scheduleTimeout(long delayMs) {
+        timeout =
+                transport.loop().schedule(() -> fail(new DiscoveryFailure.TimedOut()), delayMs, TimeUnit.MILLISECONDS);
     }
 
-    private void limitTimeLeft() {
-        if (timer.getDelay(TimeUnit.MILLISECONDS) > query.timeoutMs()) {
-            timer.cancel(false);
-            timeOutIn(query.timeoutMs());
+    /** Discovery holds the call no longer: a response that stops half-way must not cost the rest of the hold. */
+    private void responseStarted() {
+        responseStarted = true;
+        if (timeout.getDelay(TimeUnit.MILLISECONDS) > query.timeoutMs()) {
+            timeout.cancel(false);
+            scheduleTimeout(query.timeoutMs());
         }
     }
 
-    /** Sees the first bytes of an answer: discovery no longer waits then, and the rest has to follow in time. */
-    private final class AnswerStart extends ChannelInboundHandlerAdapter {
-        @Override
-        public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-            if (!answerStarted && !ended) {
-                answerStarted = true;
-                limitTimeLeft();
-            }
-            ctx.fireChannelRead(bytes);
+    private void succeed(EndpointList list) {
+        if (!ended) {
+            cancel();
+            listener.succeeded(this, list);
         }
     }
 
-    @Override
-    public void channelActive(ChannelHandlerContext ctx) {
-        var request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, query.uri());
-        request.headers().set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
-        HttpUtil.setKeepAlive(request, false);
-        ctx.writeAndFlush(request);
+    private void fail(DiscoveryFailure failure) {
+        if (!ended) {
+            cancel();
+            listener.failed(this, failure);
+        }
     }
 
-    @Override
-    protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-        if (!response.status().equals(HttpResponseStatus.OK)
-                || response.decoderResult().isFailure()) {
-            fail("answer " + response.status());
-            return;
-        }
-        try (InputStream body = new ByteBufInputStream(response.content())) {
-            succeed(EndpointList.parse(body, log));
-        } catch (EndpointList.MalformedListException | IOException e) {
-            fail(e.getMessage());
+    /** Notices the first bytes of a response, ahead of the codec: the codec may take long to make a message of them. */
+    private final class ResponseStartHandler extends ChannelInboundHandlerAdapter {
+        @Override
+        public void channelRead(ChannelHandlerContext ctx, Object bytes) {
+            if (!responseStarted && !ended) {
+                responseStarted();
+            }
+            ctx.fireChannelRead(bytes);
         }
     }
 
-    @Override
-    public void channelInactive(ChannelHandlerContext ctx) {
-        fail("the connection broke");
-    }
+    /** Sends the request once the connection is up, and ends the call by what becomes of it. */
+    private final class ExchangeHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
+        @Override
+        public void channelActive(ChannelHandlerContext ctx) {
+            var request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, query.uri());
+            request.headers().set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
+            HttpUtil.setKeepAlive(request, false);
+            ctx.writeAndFlush(request);
+        }
 
-    @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        fail(cause.toString());
-    }
+        @Override
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
+            if (!response.status().equals(HttpResponseStatus.OK)
+                    || response.decoderResult().isFailure()) {
+                fail(new DiscoveryFailure.UnexpectedResponse(response.status()));
+                return;
+            }
+            try (InputStream body = new ByteBufInputStream(response.content())) {
+                succeed(parser.parse(body));
+            } catch (MalformedListException | IOException e) {
+                fail(new DiscoveryFailure.MalformedList(e.getMessage()));
+            }
+        }
 
-    private void succeed(EndpointList list) {
-        if (!ended) {
-            cancel();
-            listener.answered(this, list);
+        @Override
+        public void channelInactive(ChannelHandlerContext ctx) {
+            fail(new DiscoveryFailure.ConnectionClosed());
         }
-    }
 
-    private void fail(String reason) {
-        if (!ended) {
-            cancel();
-            listener.failed(this, reason);
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+            fail(new DiscoveryFailure.ChannelFailed(cause));
         }
     }
 }
--- /dev/null
+++ b/src/main/java/gaugegw/proxy/discovery/EndpointListParser.java
@@ -0,0 +1,107 @@
+package gaugegw.proxy.discovery;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import gaugegw.balancer.api.Endpoint;
+import gaugegw.balancer.api.EndpointState;
+import gaugegw.proxy.config.JsonTrees;
+import gaugegw.proxy.config.SocketAddresses;
+import gaugegw.proxy.logging.RateLimitedLog;
+import java.io.IOException;
+import java.io.InputStream;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.OptionalLong;
+
+/** Reads endpoint lists from JSON. A malformed entry is logged and left out, so that it does not cost the others. */
+final class EndpointListParser {
+    private static final int MAX_LOGGED_ENTRY_CHARS = 200;
+    private static final double DEFAULT_WEIGHT = 1;
+    private static final long NO_VERSION = -1;
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final Map<String, EndpointState> STATES = Map.of(
+            "ready", EndpointState.READY,
+            "draining", EndpointState.DRAINING,
+            "gone", EndpointState.GONE);
+
+    private final RateLimitedLog log;
+
+    EndpointListParser(RateLimitedLog log) {
+        this.log = log;
+    }
+
+    /**
+     * Reads the body of a response of discovery. The stream is the caller's to close.
+     *
+     * @throws MalformedListException if the document as a whole is not a list
+     */
+    EndpointList parse(InputStream document) throws MalformedListException {
+        JsonNode list;
+        try {
+            list = JsonTrees.read(document);
+        } catch (IOException e) {
+            throw new MalformedListException("the answer is not JSON");
+        }
+        if (!isList(list)) {
+            throw new MalformedListException("the answer is no list");
+        }
+        return new EndpointList(
+                list.path("version").asLong(), list.path("full").asBoolean(), endpoints(list.path("servers")));
+    }
+
+    private static boolean isList(JsonNode list) {
+        JsonNode version = list.path("version");
+        return version.canConvertToLong()
+                && version.asLong() >= 0
+                && list.path("full").isBoolean()
+                && list.path("servers").isArray();
+    }
+
+    /** Reads the list that a proxy had before its restart; a missing node is an empty list without a version. */
+    CachedEndpointList parseCached(JsonNode list) {
+        long version = list.path("version").asLong(NO_VERSION);
+        return new CachedEndpointList(
+                version < 0 ? OptionalLong.empty() : OptionalLong.of(version), endpoints(list.path("servers")));
+    }
+
+    private List<ListedEndpoint> endpoints(JsonNode entries) {
+        var endpoints = new ArrayList<ListedEndpoint>(entries.size());
+        for (JsonNode entry : entries) {
+            endpoint(entry).ifPresentOrElse(endpoints::add, () -> logMalformed(entry));
+        }
+        return endpoints;
+    }
+
+    private void logMalformed(JsonNode entry) {
+        String text = entry.toString();
+        String shortened =
+                text.length() <= MAX_LOGGED_ENTRY_CHARS ? text : text.substring(0, MAX_LOGGED_ENTRY_CHARS) + "...";
+        log.line("discovery: a malformed entry is left out: " + shortened);
+    }
+
+    private static Optional<ListedEndpoint> endpoint(JsonNode entry) {
+        String id = entry.path("id").asText();
+        EndpointState state = STATES.get(entry.path("state").asText());
+        Optional<InetSocketAddress> address =
+                SocketAddresses.parse(entry.path("addr").asText());
+        double weight = entry.path("weight").asDouble(DEFAULT_WEIGHT);
+        if (id.isEmpty() || state == null || address.isEmpty() || !isValidWeight(weight)) {
+            return Optional.empty();
+        }
+        var endpoint = new Endpoint(
+                id,
+                state,
+                entry.path("kind").asText(null),
+                entry.path("zone").asText(null),
+                entry.path("cell").asInt(),
+                entry.path("started_ms").asLong() * MICROS_PER_MILLI,
+                weight);
+        return Optional.of(new ListedEndpoint(endpoint, address.get()));
+    }
+
+    private static boolean isValidWeight(double weight) {
+        return weight > 0 && Double.isFinite(weight);
+    }
+}
--- a/src/main/java/gaugegw/proxy/discovery/EndpointUpdateListener.java
+++ b/src/main/java/gaugegw/proxy/discovery/EndpointUpdateListener.java
@@ -3,7 +3,7 @@
 import gaugegw.balancer.api.UpdateKind;
 import java.util.List;
 
-/** Receives the endpoint list as discovery reports it, on the event loop. */
+/** Is notified of each update of the endpoint list, on the event loop. */
 public interface EndpointUpdateListener {
     /**
      * Called for each snapshot, delta, cached snapshot or failed poll, in the order in which they arrive.
--- a/src/main/java/gaugegw/proxy/discovery/EndpointWatcher.java
+++ b/src/main/java/gaugegw/proxy/discovery/EndpointWatcher.java
@@ -1,7 +1,6 @@
 package gaugegw.proxy.discovery;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import gaugegw.balancer.DiscoveryBackoff;
 import gaugegw.balancer.api.BalancerSettings;
 import gaugegw.balancer.api.UpdateKind;
 import gaugegw.proxy.logging.RateLimitedLog;
@@ -11,59 +10,58 @@
 import io.netty.util.concurrent.Promise;
 import java.net.InetSocketAddress;
 import java.util.List;
+import java.util.OptionalLong;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 
 /**
- * The watch on discovery's list of backends: a row of calls, each sent as soon as the last is answered, and never two at
- * once. When one fails the watch is over, the module is told, and it is the module that asks again, later each time. An
- * agent on the proxy's own machine is asked again without the module.
+ * Watches discovery's endpoint list by a sequence of calls, never two at once: the first returns at once, and each further
+ * one is sent as soon as the one before it has a response, and may be held by discovery until there is an update.
+ *
+ * <p>When a call fails the watch has ended. The listener is notified, and the load balancer decides when to poll again, with
+ * a growing backoff. A local agent is called again after a short fixed delay, without a notice.
+ *
+ * <p>All methods are called on the event loop, except for {@link #firstCallEnded} and {@link #hasLocalAgent}.
  */
-public final class EndpointWatcher implements DiscoveryCall.Listener {
-    /**
-     * Time beyond its wait after which a call to a service has failed, in milliseconds. What it has to tell counts as told
-     * 2 s after the wait (protocol page), and binds 1 s later: a call that is made anew may fail once within that.
-     */
-    private static final long SERVICE_TIMEOUT_MS = TimeUnit.MICROSECONDS.toMillis(DiscoveryBackoff.CALL_TIMEOUT_US);
+public final class EndpointWatcher {
+    /** Time within which the first call of a process to a service has a response or has failed, in milliseconds. */
+    public static final long FIRST_SERVICE_TIMEOUT_MS = CallTiming.FIRST_SERVICE_TIMEOUT_MS;
+
     /**
-     * The same for an agent, which answers at once (protocol page). What it hears after a silence of its own counts as
-     * told right then (standing page) and binds 1 s later: two calls that fail, and the delays after them, take that long.
+     * Delay after a held call that returned without an update, in milliseconds: guards against a discovery that does not
+     * hold calls, which would be called as fast as the CPU allows. A watch continues if its next call arrives within 200 ms.
      */
-    private static final long AGENT_TIMEOUT_MS = 450;
-    /** Delay between a failed call to an agent and the next, in milliseconds. */
-    private static final long AGENT_RETRY_DELAY_MS = 50;
-    /** {@link #SERVICE_TIMEOUT_MS} for the first call of a process: the code that it runs is yet to be loaded. */
-    public static final long FIRST_SERVICE_TIMEOUT_MS = 2_000;
-    /** {@link #AGENT_TIMEOUT_MS} for the first call of a process. */
-    private static final long FIRST_AGENT_TIMEOUT_MS = 600;
-
-    /** The protocol page: the longest time that a call may wait, in milliseconds. */
-    private static final long MAX_HOLD_MS = 60_000;
-
-    private static final long MIN_HOLD_MS = 1_500;
-    /** Each empty answer is work for a service that all proxies share: so many milliseconds for each of them. */
-    private static final long HOLD_PER_PROXY_MS = 500;
-
-    private static final long NO_NEWS_DELAY_MS = 50;
+    private static final long EMPTY_RESPONSE_DELAY_MS = 50;
 
     private final EventLoop loop;
     private final Transport transport;
     private final RateLimitedLog log;
+    private final EndpointListParser parser;
     private final EndpointUpdateListener updateListener;
+    private final DiscoveryCall.Listener callListener = new CallListener();
     private final boolean hasLocalAgent;
-    private final long holdMs;
-    private final long firstTimeoutMs;
-    private final long timeoutMs;
+    private final CallTiming timing;
     private final SplittableRandom random;
     private final Promise<Void> firstCallEnded;
     private InetSocketAddress address;
-    private boolean firstCallMade;
     private boolean watching;
-    /** The call that is out, or the one that was answered last while the next of its watch is yet to be sent. */
+    /** Time beyond its hold after which the next call has failed, in milliseconds. */
+    private long nextTimeoutMs;
+    /**
+     * The call in flight, or the one that has just had a response while the next call of its watch is yet to be sent; null
+     * where there is neither.
+     */
     private DiscoveryCall call;
 
-    private long version = EndpointList.NO_VERSION;
+    /** The version of the cached list; empty: the next call fetches the complete list. */
+    private OptionalLong version = OptionalLong.empty();
 
+    /**
+     * Creates a watcher that makes no call yet; may be called on any thread.
+     *
+     * @param updateListener notified of each update and each failed poll
+     * @param address where discovery is called until {@link #moveTo}
+     */
     public EndpointWatcher(
             Transport transport,
             RateLimitedLog log,
@@ -74,32 +72,40 @@
         this.firstCallEnded = loop.newPromise();
         this.transport = transport;
         this.log = log;
+        this.parser = new EndpointListParser(log);
         this.updateListener = updateListener;
         this.address = address;
         this.random = new SplittableRandom(settings.seed());
         this.hasLocalAgent = !settings.limits().endpointsArePolled();
-        this.firstTimeoutMs = hasLocalAgent ? FIRST_AGENT_TIMEOUT_MS : FIRST_SERVICE_TIMEOUT_MS;
-        this.timeoutMs = hasLocalAgent ? AGENT_TIMEOUT_MS : SERVICE_TIMEOUT_MS;
-        // A call whose other end has vanished looks like one that waits: until its answer is overdue no news comes.
-        // Never more than twice the time within which a proxy has to ask.
-        long share = hasLocalAgent ? MIN_HOLD_MS : Math.max(MIN_HOLD_MS, HOLD_PER_PROXY_MS * settings.proxyCount());
-        this.holdMs = Math.min(
-                Math.min(MAX_HOLD_MS, share), 2 * settings.safetyLimits().pollIntervalUs() / 1_000);
+        this.timing = CallTiming.of(settings, hasLocalAgent);
+        this.nextTimeoutMs = timing.firstTimeoutMs();
     }
 
-    /** Ends when a first call has: until then the list is as old as the last life of this proxy. */
+    /**
+     * Returns a future that completes when the first call has ended, by a list or a failure. Until then there is no list
+     * but that of before the restart. May be used on any thread.
+     */
     public Future<Void> firstCallEnded() {
         return firstCallEnded;
     }
 
-    /** Returns whether there is an agent, which answers at once; what it has counts as told before it is asked. */
+    /**
+     * Returns whether discovery is an agent on this machine. It answers at once, and what it has must be in force before it
+     * is called.
+     */
     public boolean hasLocalAgent() {
         return hasLocalAgent;
     }
 
-    /** Takes in the list that this proxy had in its last life, if any; the module begins with this. */
+    /**
+     * Notifies the listener of the list that this proxy had before its restart, as the first update. A local agent is
+     * watched from then on.
+     *
+     * @param list the list in discovery's form; a missing node where there is none
+     */
     public void loadCachedEndpoints(JsonNode list) {
-        EndpointList cached = EndpointList.cached(list, log);
+        assert loop.inEventLoop();
+        CachedEndpointList cached = parser.parseCached(list);
         version = cached.version();
         updateListener.endpointsUpdated(UpdateKind.CACHED, cached.endpoints());
         if (hasLocalAgent) {
@@ -107,38 +113,44 @@
         }
     }
 
-    /** Begins the watch, or ends it. One that goes on already is left alone. */
-    public void watch(boolean on) {
-        watching = on;
-        if (!on) {
+    /** Starts the watch, or ends it. One that is under way is left alone. */
+    public void watch(boolean enabled) {
+        assert loop.inEventLoop();
+        watching = enabled;
+        if (!enabled) {
             cancelCall();
         } else if (call == null) {
-            callAtOnce();
+            callWithoutHold();
         }
     }
 
     /**
-     * Asks at another address from now on. The backends that are known stay until it has told its own list: the whole
-     * of it, as its versions need not count what those of the old address did.
+     * Calls discovery at another address from now on. The cached endpoints stay in force until the new address has sent its
+     * complete list; a delta would not do, as its versions need not be those of the old address.
      */
-    public void moveTo(InetSocketAddress to) {
-        if (to.equals(address)) {
+    public void moveTo(InetSocketAddress newAddress) {
+        assert loop.inEventLoop();
+        if (newAddress.equals(address)) {
             return;
         }
-        address = to;
-        version = EndpointList.NO_VERSION;
-        boolean asking = watching || call != null;
+        address = newAddress;
+        version = OptionalLong.empty();
+        boolean callWanted = watching || call != null;
         cancelCall();
-        if (asking) {
-            callAtOnce();
+        if (callWanted) {
+            callWithoutHold();
         }
     }
 
-    /** Asks for the whole list. A watch goes on from there: two calls at once could tell old news after new. */
+    /**
+     * Fetches the complete list. A call in flight is cancelled: of two at once, an older update could arrive after a newer
+     * one. A watch continues from the list that is fetched.
+     */
     public void fetch() {
+        assert loop.inEventLoop();
         cancelCall();
-        version = EndpointList.NO_VERSION;
-        callAtOnce();
+        version = OptionalLong.empty();
+        callWithoutHold();
     }
 
     private void cancelCall() {
@@ -148,56 +160,55 @@
         }
     }
 
-    /** Sends a call that does not wait: what was missed comes at once, or the news that there is none. */
-    private void callAtOnce() {
+    /** Sends a call that returns at once, with what was missed or with an empty update. */
+    private void callWithoutHold() {
         call(0);
     }
 
-    private void call(long waitMs) {
-        var query = new DiscoveryCall.Query(version, waitMs, firstCallMade ? timeoutMs : firstTimeoutMs);
-        firstCallMade = true;
-        call = new DiscoveryCall(transport, log, address, query, this);
+    private void call(long holdMs) {
+        var query = new DiscoveryQuery(version, holdMs, nextTimeoutMs);
+        nextTimeoutMs = timing.timeoutMs();
+        call = new DiscoveryCall(transport, parser, address, query, callListener);
         call.start();
     }
 
-    @Override
-    public void answered(DiscoveryCall answered, EndpointList list) {
-        if (!answered.query().isAnsweredBy(list)) {
-            // Discovery began anew, or something is missing in between: only the whole list is sure.
-            version = EndpointList.NO_VERSION;
-            failed(answered, "changes up to version " + list.version() + " do not follow on this proxy's list");
-            return;
-        }
-        boolean news = list.version() != version && !list.endpoints().isEmpty();
-        version = list.version();
+    private void listReceived(DiscoveryCall ended, EndpointList list) {
+        boolean hasUpdate = !isCached(list.version()) && !list.endpoints().isEmpty();
+        version = OptionalLong.of(list.version());
         if (!watching) {
             call = null;
-        } else if (answered.query().holdMs() == 0 || news) {
-            // Before the news is taken in: a watch is over 200 ms after its last answer.
-            continueWatch(answered);
+        } else if (!ended.query().mayBeHeld() || hasUpdate) {
+            // Before the listener is notified, which takes time: the watch ends 200 ms after its last response.
+            continueWatch(ended);
         } else {
-            // One that answers at once without any news would be asked as fast as the CPU allows.
-            loop.schedule(() -> continueWatch(answered), NO_NEWS_DELAY_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> continueWatch(ended), EMPTY_RESPONSE_DELAY_MS, TimeUnit.MILLISECONDS);
         }
         updateListener.endpointsUpdated(list.full() ? UpdateKind.SNAPSHOT : UpdateKind.DELTA, list.endpoints());
         firstCallEnded.trySuccess(null);
     }
 
-    private void continueWatch(DiscoveryCall answered) {
-        if (call == answered) {
-            // Not in step with the other proxies, which all start together.
-            call(holdMs - random.nextLong(holdMs / 4 + 1));
+    private boolean isCached(long listVersion) {
+        return version.isPresent() && version.getAsLong() == listVersion;
+    }
+
+    private void continueWatch(DiscoveryCall ended) {
+        // Unless the watch was ended or moved since.
+        if (call == ended) {
+            call(jitteredHoldMs());
         }
     }
 
-    /** Where the module has to ask, it decides when to ask again; an agent on the same machine is simply kept up. */
-    @Override
-    public void failed(DiscoveryCall failed, String reason) {
-        log.line("discovery: " + reason);
+    /** Returns the hold less up to a quarter, so that proxies which start together do not call in step. */
+    private long jitteredHoldMs() {
+        return timing.holdMs() - random.nextLong(timing.holdMs() / 4 + 1);
+    }
+
+    private void callFailed(DiscoveryFailure failure) {
+        log.line("discovery: " + failure.description());
         call = null;
         firstCallEnded.trySuccess(null);
         if (hasLocalAgent) {
-            loop.schedule(this::retryAgent, AGENT_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::retryAgent, CallTiming.AGENT_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         } else {
             updateListener.endpointsUpdated(UpdateKind.POLL_FAILED, List.of());
         }
@@ -208,4 +219,24 @@
             watch(true);
         }
     }
+
+    private final class CallListener implements DiscoveryCall.Listener {
+        @Override
+        public void succeeded(DiscoveryCall ended, EndpointList list) {
+            assert loop.inEventLoop();
+            if (ended.query().accepts(list)) {
+                listReceived(ended, list);
+            } else {
+                // Applied all the same it would leave endpoints in force that are gone: only a complete list is safe.
+                version = OptionalLong.empty();
+                callFailed(new DiscoveryFailure.VersionGap(list.version()));
+            }
+        }
+
+        @Override
+        public void failed(DiscoveryCall ended, DiscoveryFailure failure) {
+            assert loop.inEventLoop();
+            callFailed(failure);
+        }
+    }
 }
--- /dev/null
+++ b/src/main/java/gaugegw/proxy/discovery/MalformedListException.java
@@ -0,0 +1,10 @@
+package gaugegw.proxy.discovery;
+
+/** A document that is not an endpoint list; the message says why. */
+final class MalformedListException extends Exception {
+    private static final long serialVersionUID = 1L;
+
+    MalformedListException(String message) {
+        super(message);
+    }
+}
