--- a/src/main/java/gaugegw/proxy/dispatch/AttemptStarter.java
+++ b/src/main/java/gaugegw/proxy/dispatch/AttemptStarter.java
@@ -5,8 +5,8 @@
 import gaugegw.balancer.api.Event;
 import gaugegw.balancer.api.Limits;
 import gaugegw.proxy.transport.Clock;
+import gaugegw.proxy.upstream.UpstreamAttempt;
 import gaugegw.proxy.upstream.UpstreamClient;
-import gaugegw.proxy.upstream.UpstreamClient.UpstreamAttempt;
 import gaugegw.proxy.upstream.UpstreamResponse;
 import java.util.Optional;
 
