--- a/src/test/java/gaugegw/proxy/discovery/EndpointWatcherTest.java
+++ b/src/test/java/gaugegw/proxy/discovery/EndpointWatcherTest.java
@@ -34,50 +34,56 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The watch on the list of backends, with discovery played by the test. */
+/** The watch on the endpoint list, with discovery played by the test. */
 class EndpointWatcherTest {
-    /** Asks to watch at its first event, and again whenever a call has failed. */
-    private static ProxyFixture.Module watcher() {
+    /** Watches the endpoints from its first event on, and again whenever a poll has failed. */
+    private static ProxyFixture.Module watching() {
         return (event, actions) -> {
-            if (event instanceof EndpointUpdate m
-                    && (m.kind() == UpdateKind.CACHED || m.kind() == UpdateKind.POLL_FAILED)) {
+            if (event instanceof EndpointUpdate update
+                    && (update.kind() == UpdateKind.CACHED || update.kind() == UpdateKind.POLL_FAILED)) {
                 actions.accept(new WatchEndpoints(true));
             }
         };
     }
 
-    private static RawConnection.Message ready(ProxyFixture proxy) throws Exception {
+    private static RawConnection.Message readiness(ProxyFixture proxy) throws Exception {
         try (var client = proxy.client()) {
             return client.send("GET /ready HTTP/1.1\r\n\r\n").read();
         }
     }
 
-    /** Ready means that it can serve: not on the list of its last life alone, and not without a backend. */
+    /**
+     * A restarted proxy is not ready by its cached list alone: it becomes so with the first response of discovery. When
+     * discovery then removes its only endpoint, it is not ready any more.
+     */
     @Test
-    void isReadyOnceDiscoveryHasSpoken() throws Exception {
+    void isReadyAfterTheFirstResponseWhileThereIsAnEndpoint() throws Exception {
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(watcher(), backend)) {
-            EndpointUpdate known = proxy.next(EndpointUpdate.class);
-            assertThat(known.kind()).isEqualTo(UpdateKind.CACHED);
-            assertThat(known.endpoints())
+                var proxy = new ProxyFixture(watching(), backend)) {
+            EndpointUpdate cached = proxy.next(EndpointUpdate.class);
+            assertThat(cached.kind()).isEqualTo(UpdateKind.CACHED);
+            assertThat(cached.endpoints())
                     .containsExactly(new Endpoint("s0", EndpointState.READY, "m", "a", 1, 7_000, 1));
             RawConnection call = proxy.discovery.accept();
             assertThat(call.read().first()).isEqualTo("GET /v1/endpoints?from=41&hold_ms=0 HTTP/1.1");
-            assertThat(ready(proxy).status()).isEqualTo(503);
+            assertThat(readiness(proxy).status()).isEqualTo(503);
             call.send(ScriptedServer.ok(ProxyFixture.list(41, false)));
-            // The watch goes on at once, and now it may wait: briefly, or a discovery that has vanished is not missed.
-            RawConnection next = proxy.discovery.accept();
-            assertThat(next.read().first()).matches("GET /v1/endpoints\\?from=41&hold_ms=1[1-5]\\d{2} HTTP/1.1");
-            assertThat(ready(proxy).status()).isEqualTo(200);
-            next.send(ScriptedServer.ok(
+            // The watch continues at once, with a hold: a short one, so that a discovery that has vanished is noticed.
+            RawConnection nextCall = proxy.discovery.accept();
+            assertThat(nextCall.read().first()).matches("GET /v1/endpoints\\?from=41&hold_ms=1[1-5]\\d{2} HTTP/1.1");
+            assertThat(readiness(proxy).status()).isEqualTo(200);
+            nextCall.send(ScriptedServer.ok(
                     ProxyFixture.list(43, false, ProxyFixture.entry("s0", backend.address(), "gone"))));
-            RawConnection last = proxy.discovery.accept();
-            assertThat(last.read().first()).contains("from=43&");
-            assertThat(ready(proxy).status()).isEqualTo(503);
+            RawConnection lastCall = proxy.discovery.accept();
+            assertThat(lastCall.read().first()).contains("from=43&");
+            assertThat(readiness(proxy).status()).isEqualTo(503);
         }
     }
 
-    /** A process that has come back is ready by the list that it had, however its first call to discovery fails. */
+    /**
+     * A proxy restarts while discovery fails: it closes the connection, responds with an error or sends what is not HTTP.
+     * The proxy is ready by its cached list once its first call has failed.
+     */
     @ParameterizedTest
     @CsvSource({
         "pushed,''",
@@ -87,36 +93,37 @@
         "on_request,'HTTP/1.1 503 Busy'",
         "on_request,'rubbish'"
     })
-    void isReadyByTheListThatItHadWhereDiscoveryFails(String mode, String answer) throws Exception {
-        ProxyFixture.Module asksOnce = (event, actions) -> {
-            if (event instanceof EndpointUpdate m && m.kind() == UpdateKind.CACHED) {
+    void isReadyByItsCachedListWhereTheFirstCallFails(String registryMode, String response) throws Exception {
+        ProxyFixture.Module watchingOnce = (event, actions) -> {
+            if (event instanceof EndpointUpdate update && update.kind() == UpdateKind.CACHED) {
                 actions.accept(new WatchEndpoints(true));
             }
         };
         try (var backend = new ScriptedServer();
                 var discovery = new ScriptedServer()) {
-            discovery.always(answer);
-            try (var proxy = new ProxyFixture(asksOnce, c -> at(discovery, c).replace("on_request", mode), backend)) {
+            discovery.always(response);
+            try (var proxy = new ProxyFixture(
+                    watchingOnce, c -> discoveryAt(discovery, c).replace("on_request", registryMode), backend)) {
                 ScriptedServer.until(() -> isReady(proxy));
             }
         }
     }
 
-    private static String at(ScriptedServer discovery, String config) {
+    private static String discoveryAt(ScriptedServer discovery, String config) {
         return config.replaceFirst("discovery\":\"[^\"]+", "discovery\":\"" + discovery.address());
     }
 
     private static boolean isReady(ProxyFixture proxy) {
         try {
-            return ready(proxy).status() == 200;
+            return readiness(proxy).status() == 200;
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
     }
 
     @Test
-    void tellsChangesAndWholeLists() throws Exception {
-        try (var proxy = new ProxyFixture(watcher())) {
+    void notifiesOfSnapshotsAndDeltas() throws Exception {
+        try (var proxy = new ProxyFixture(watching())) {
             proxy.next(EndpointUpdate.class);
             RawConnection call = proxy.discovery.accept();
             call.read();
@@ -126,34 +133,37 @@
             call.read();
             call.send(ScriptedServer.ok(
                     ProxyFixture.list(43, false, ProxyFixture.entry("s7", "127.0.0.1:1", "draining"))));
-            EndpointUpdate change = proxy.next(EndpointUpdate.class);
-            assertThat(change.kind()).isEqualTo(UpdateKind.DELTA);
-            assertThat(change.endpoints()).extracting(Endpoint::state).containsExactly(EndpointState.DRAINING);
+            EndpointUpdate delta = proxy.next(EndpointUpdate.class);
+            assertThat(delta.kind()).isEqualTo(UpdateKind.DELTA);
+            assertThat(delta.endpoints()).extracting(Endpoint::state).containsExactly(EndpointState.DRAINING);
         }
     }
 
     /**
-     * One that doesn't wait and has no news, or tells its whole list again, is asked again within the 200 ms of a watch,
-     * but not in a tight loop.
+     * A discovery does not hold calls: it returns at once, with an empty delta or with the same snapshot again. The proxy
+     * calls it again soon enough for the watch to continue, but not in a tight loop.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void doesNotSpinOnADiscoveryThatDoesNotWait(boolean full) throws Exception {
+    void doesNotCallInATightLoopWhereDiscoveryHoldsNoCalls(boolean full) throws Exception {
         String[] entries = full ? new String[] {ProxyFixture.entry("s7", "127.0.0.1:1", "ready")} : new String[0];
-        try (var proxy = new ProxyFixture(watcher())) {
-            RawConnection first = proxy.discovery.accept();
-            first.read();
-            first.send(ScriptedServer.ok(ProxyFixture.list(41, false)));
-            RawConnection second = proxy.discovery.accept();
-            second.read();
-            long answered = System.nanoTime();
-            second.send(ScriptedServer.ok(ProxyFixture.list(41, full, entries)));
+        try (var proxy = new ProxyFixture(watching())) {
+            RawConnection firstCall = proxy.discovery.accept();
+            firstCall.read();
+            firstCall.send(ScriptedServer.ok(ProxyFixture.list(41, false)));
+            RawConnection secondCall = proxy.discovery.accept();
+            secondCall.read();
+            long respondedNanos = System.nanoTime();
+            secondCall.send(ScriptedServer.ok(ProxyFixture.list(41, full, entries)));
             proxy.discovery.accept().read();
-            assertThat(System.nanoTime() - answered).isGreaterThan(40_000_000);
+            assertThat(System.nanoTime() - respondedNanos).isGreaterThan(40_000_000);
         }
     }
 
-    /** A failed call is told to the module, which decides when to ask again: nothing asks on its own. */
+    /**
+     * A call fails by an error, a response cut short, a closed connection, or a body that is no endpoint list. The load
+     * balancer is notified; the next call is made because it demands one.
+     */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -167,12 +177,12 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n{\"version\":\"x\",\"full\":true,\"servers\":[]}",
                 "HTTP/1.1 200 OK\r\nContent-Length: 39\r\n\r\n{\"version\":-1,\"full\":true,\"servers\":[]}"
             })
-    void tellsOfAFailedCall(String answer) throws Exception {
-        try (var proxy = new ProxyFixture(watcher())) {
+    void notifiesOfAFailedCall(String response) throws Exception {
+        try (var proxy = new ProxyFixture(watching())) {
             proxy.next(EndpointUpdate.class);
             try (RawConnection call = proxy.discovery.accept()) {
                 call.read();
-                call.send(answer);
+                call.send(response);
             }
             assertThat(proxy.next(EndpointUpdate.class))
                     .isEqualTo(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
@@ -180,10 +190,13 @@
         }
     }
 
-    /** A discovery that is cut off says nothing, and TCP tells nobody: only the time does. */
+    /**
+     * Discovery is cut off and stays silent on an open connection, which TCP does not report. The call fails by its timeout
+     * and its connection is closed.
+     */
     @Test
-    void noticesASilentDiscovery() throws Exception {
-        try (var proxy = new ProxyFixture(watcher())) {
+    void aCallToASilentDiscoveryTimesOut() throws Exception {
+        try (var proxy = new ProxyFixture(watching())) {
             proxy.next(EndpointUpdate.class);
             RawConnection call = proxy.discovery.accept();
             call.read();
@@ -192,73 +205,86 @@
         }
     }
 
-    /** As {@link #watcher}; a timer runs from the first list of a kind on. */
-    private static ProxyFixture.Module watcher(UpdateKind from, long timerMs) {
-        var set = new boolean[1];
+    /**
+     * As {@link #watching()}, with a timer that starts at the first update of a kind: the test then sees whether the event
+     * that it waits for is there before the timer fires.
+     */
+    private static ProxyFixture.Module watchingWithTimer(UpdateKind startKind, long timerMs) {
+        var timerSet = new boolean[1];
         return (event, actions) -> {
-            watcher().handle(event, actions);
-            if (!set[0] && event instanceof EndpointUpdate m && m.kind() == from) {
-                set[0] = true;
-                long now = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
-                actions.accept(new SetTimer(now + timerMs * 1_000, "told"));
+            watching().handle(event, actions);
+            if (!timerSet[0] && event instanceof EndpointUpdate update && update.kind() == startKind) {
+                timerSet[0] = true;
+                long nowUs = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
+                actions.accept(new SetTimer(nowUs + timerMs * 1_000, "time is up"));
             }
         };
     }
 
     /**
-     * What a silent watch misses counts as told 2 s after its wait, and binds 1 s later. The wait is 1.1 s at least; that
-     * the watch is over must come before a timer which is set as it begins, to 3 s after that.
+     * Discovery falls silent during a held call. An update that the call misses must be in force 3 s after the end of its
+     * hold, so the call has to fail before that: before a timer set at its start to 3 s after the shortest hold of 1.1 s.
      */
     @Test
-    void asksAnewBeforeThatBindsWhichASilentWatchMisses() throws Exception {
-        try (var proxy = new ProxyFixture(watcher(UpdateKind.DELTA, 4_100))) {
-            RawConnection first = proxy.discovery.accept();
-            first.read();
-            first.send(ScriptedServer.ok(ProxyFixture.list(42, false)));
+    void aSilentWatchFailsBeforeAMissedUpdateMustBeInForce() throws Exception {
+        try (var proxy = new ProxyFixture(watchingWithTimer(UpdateKind.DELTA, 4_100))) {
+            RawConnection firstCall = proxy.discovery.accept();
+            firstCall.read();
+            firstCall.send(ScriptedServer.ok(ProxyFixture.list(42, false)));
             proxy.discovery.accept().read();
             assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
             assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.DELTA);
-            Event next = ScriptedServer.next(proxy.events);
-            assertThat(next).isEqualTo(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
+            Event nextEvent = ScriptedServer.next(proxy.events);
+            assertThat(nextEvent).isEqualTo(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
         }
     }
 
-    private static final String STALLED_ANSWER = "HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n{";
+    private static final String STALLED_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n{";
 
-    /** A call that doesn't wait is over 1.2 s after it began, whether its answer doesn't come or stops half way. */
+    /**
+     * Discovery accepts a call without a hold and stays silent, or stops half-way through its response. The call has failed
+     * 1.2 s after its start.
+     */
     @ParameterizedTest
-    @ValueSource(strings = {"", STALLED_ANSWER})
-    void aCallThatDoesNotWaitFailsSoon(String answer) throws Exception {
-        try (var proxy = new ProxyFixture(watcher(UpdateKind.POLL_FAILED, 1_700))) {
+    @ValueSource(strings = {"", STALLED_RESPONSE})
+    void aCallWithoutAHoldTimesOutSoon(String response) throws Exception {
+        try (var proxy = new ProxyFixture(watchingWithTimer(UpdateKind.POLL_FAILED, 1_700))) {
             proxy.discovery.accept().close();
             assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
             assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.POLL_FAILED);
             RawConnection call = proxy.discovery.accept();
             call.read();
-            call.send(answer);
-            Event next = ScriptedServer.next(proxy.events);
-            assertThat(next).isEqualTo(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
+            call.send(response);
+            Event nextEvent = ScriptedServer.next(proxy.events);
+            assertThat(nextEvent).isEqualTo(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
         }
     }
 
-    /** One that may wait, here for 15 s at least, is over soon after its answer has begun: what it told is lost else. */
+    /**
+     * Discovery begins its response to a held call and stops half-way. The call fails soon after, and not only at the end of
+     * its hold of 15 s or more: the update in the response would be missed for so long.
+     */
     @Test
-    void anAnswerThatStopsHalfWayIsNotWaitedForAsLongAsItMightHaveWaited() throws Exception {
+    void aStalledResponseEndsTheHold() throws Exception {
         try (var proxy = new ProxyFixture(
-                watcher(UpdateKind.DELTA, 6_000), c -> c.replace("\"balancers\":2", "\"balancers\":100"))) {
+                watchingWithTimer(UpdateKind.DELTA, 6_000), c -> c.replace("\"balancers\":2", "\"balancers\":100"))) {
             RawConnection watch = proxy.list();
             assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
             assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.DELTA);
-            watch.send(STALLED_ANSWER);
-            Event next = ScriptedServer.next(proxy.events);
-            assertThat(next).isEqualTo(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
+            watch.send(STALLED_RESPONSE);
+            Event nextEvent = ScriptedServer.next(proxy.events);
+            assertThat(nextEvent).isEqualTo(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
         }
     }
 
-    /** What an agent has counts as told at once: two calls that fail and their delays take 1 s, the first 0.15 s more. */
+    /**
+     * A local agent leaves five calls unanswered. What it has must be in force 1 s after it can be reached: two calls that
+     * fail, with the delay after each, take no longer, but for the first call of the process with 0.15 s more.
+     */
     @Test
-    void anAgentIsAskedAnewInTimeThoughCallsFail() throws Exception {
-        try (var proxy = new ProxyFixture(watcher(UpdateKind.CACHED, 3_400), c -> c.replace("on_request", "pushed"))) {
+    void aLocalAgentIsRetriedInTimeThoughCallsFail() throws Exception {
+        try (var proxy =
+                new ProxyFixture(watchingWithTimer(UpdateKind.CACHED, 3_400), c -> c.replace("on_request", "pushed"))) {
             for (int i = 0; i < 5; i++) {
                 proxy.discovery.accept().read();
             }
@@ -266,32 +292,38 @@
             call.read();
             call.send(ScriptedServer.ok(ProxyFixture.list(42, false)));
             assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
-            Event next = ScriptedServer.next(proxy.events);
-            assertThat(next).isEqualTo(new EndpointUpdate(UpdateKind.DELTA, List.of()));
+            Event nextEvent = ScriptedServer.next(proxy.events);
+            assertThat(nextEvent).isEqualTo(new EndpointUpdate(UpdateKind.DELTA, List.of()));
         }
     }
 
-    /** An agent of the proxy's own machine answers at once, and costs nothing: neither its silence nor a wait is long. */
+    /**
+     * A local agent leaves the first call unanswered. It is called again without a hold, and the hold of its watch is short
+     * even in a fleet of 100 proxies, as its calls cost no other machine anything.
+     */
     @Test
-    void anAgentIsAskedOftenAndAnewWhenItIsSilent() throws Exception {
+    void aSilentLocalAgentIsRetriedAndItsHoldStaysShort() throws Exception {
         try (var proxy = new ProxyFixture(
-                watcher(UpdateKind.CACHED, 2_500),
+                watchingWithTimer(UpdateKind.CACHED, 2_500),
                 c -> c.replace("on_request", "pushed").replace("\"balancers\":2", "\"balancers\":100"))) {
             proxy.discovery.accept().read();
-            RawConnection again = proxy.discovery.accept();
-            assertThat(again.read().first()).contains("from=41&hold_ms=0");
-            again.send(ScriptedServer.ok(ProxyFixture.list(42, false)));
+            RawConnection retry = proxy.discovery.accept();
+            assertThat(retry.read().first()).contains("from=41&hold_ms=0");
+            retry.send(ScriptedServer.ok(ProxyFixture.list(42, false)));
             assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
-            Event next = ScriptedServer.next(proxy.events);
-            assertThat(next).isEqualTo(new EndpointUpdate(UpdateKind.DELTA, List.of()));
+            Event nextEvent = ScriptedServer.next(proxy.events);
+            assertThat(nextEvent).isEqualTo(new EndpointUpdate(UpdateKind.DELTA, List.of()));
             assertThat(proxy.discovery.accept().read().first())
                     .matches("GET /v1/endpoints\\?from=42&hold_ms=1[1-5]\\d{2} HTTP/1.1");
         }
     }
 
-    /** What an agent has binds a new process from its start: no request may go by the list of its last life alone. */
+    /**
+     * A proxy restarts while its local agent has an update that is already in force. No client may connect before the
+     * response of the agent is applied: its requests would be forwarded by the cached list.
+     */
     @Test
-    void letsNobodyInBeforeAnAgentHasSpoken() throws Exception {
+    void acceptsNoClientBeforeTheFirstResponseOfALocalAgent() throws Exception {
         int port;
         try (var free = new ScriptedServer()) {
             port = free.port();
@@ -301,16 +333,18 @@
             ScriptedServer.background(() -> {
                 RawConnection call = discovery.accept();
                 call.read();
-                boolean letIn = false;
-                for (int i = 0; i < 50 && !letIn; i++) {
-                    letIn = letsIn(port);
+                boolean accepted = false;
+                for (int i = 0; i < 50 && !accepted; i++) {
+                    accepted = accepts(port);
                 }
                 call.send(ScriptedServer.ok(
                         ProxyFixture.list(42, false, ProxyFixture.entry("s0", backend.address(), "draining"))));
             });
             try (var proxy = new ProxyFixture(
                     (event, actions) -> {},
-                    c -> at(discovery, c).replace("on_request", "pushed").replace("127.0.0.1:0", "127.0.0.1:" + port),
+                    c -> discoveryAt(discovery, c)
+                            .replace("on_request", "pushed")
+                            .replace("127.0.0.1:0", "127.0.0.1:" + port),
                     backend)) {
                 assertThat(proxy.events)
                         .extracting(e -> ((EndpointUpdate) e).kind())
@@ -319,17 +353,17 @@
         }
     }
 
-    private static boolean letsIn(int port) {
+    private static boolean accepts(int port) {
         try {
             RawConnection.to(new InetSocketAddress(port)).close();
             return true;
         } catch (IOException e) {
-            trickle();
+            pause();
             return false;
         }
     }
 
-    private static void trickle() {
+    private static void pause() {
         try {
             Thread.sleep(1);
         } catch (InterruptedException e) {
@@ -337,20 +371,23 @@
         }
     }
 
-    /** After a restart versions may begin again: then changes say nothing of what this proxy has, a whole list does. */
+    /**
+     * Discovery restarts, and its versions begin again below that of the proxy's list: its deltas do not follow on that
+     * list. The proxy discards them and fetches the complete list until it has one.
+     */
     @Test
-    void asksForTheWholeListWhereChangesDoNotFollowOnItsOwn() throws Exception {
-        try (var proxy = new ProxyFixture(watcher())) {
+    void fetchesTheCompleteListAfterAVersionGap() throws Exception {
+        try (var proxy = new ProxyFixture(watching())) {
             RawConnection watch = proxy.list();
             watch.send(
                     ScriptedServer.ok(ProxyFixture.list(7, false, ProxyFixture.entry("s7", "127.0.0.1:1", "ready"))));
-            RawConnection whole = proxy.discovery.accept();
-            assertThat(whole.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
-            whole.send(
+            RawConnection fetch = proxy.discovery.accept();
+            assertThat(fetch.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
+            fetch.send(
                     ScriptedServer.ok(ProxyFixture.list(8, false, ProxyFixture.entry("s7", "127.0.0.1:1", "ready"))));
-            whole = proxy.discovery.accept();
-            assertThat(whole.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
-            whole.send(ScriptedServer.ok(ProxyFixture.list(8, true, ProxyFixture.entry("s8", "127.0.0.1:1", "ready"))));
+            fetch = proxy.discovery.accept();
+            assertThat(fetch.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
+            fetch.send(ScriptedServer.ok(ProxyFixture.list(8, true, ProxyFixture.entry("s8", "127.0.0.1:1", "ready"))));
             assertThat(proxy.discovery.accept().read().first()).contains("?from=8&");
             assertThat(proxy.events)
                     .extracting(e -> ((EndpointUpdate) e).kind())
@@ -363,12 +400,12 @@
         }
     }
 
-    /** Where no descriptor is left for a call it has failed like any other, and is made again. */
+    /** No descriptor is left for a call, so that no channel can be made. The call has failed like any other, and is retried. */
     @Test
-    void aCallForWhichThereIsNoDescriptorIsMadeAgain() throws Exception {
+    void aCallWithoutADescriptorIsRetried() throws Exception {
         Transport sockets = Transport.sockets();
         var failures = new AtomicInteger(1);
-        ChannelFactory<Channel> limited = () -> {
+        ChannelFactory<Channel> limitedFactory = () -> {
             if (failures.getAndDecrement() > 0) {
                 throw new ChannelException("no descriptor is left");
             }
@@ -377,26 +414,26 @@
         var transport = new Transport(
                 sockets.loop(),
                 sockets.server(),
-                new Bootstrap().group(sockets.loop()).channelFactory(limited),
+                new Bootstrap().group(sockets.loop()).channelFactory(limitedFactory),
                 sockets.addresses(),
                 sockets.silent());
         try (var discovery = new ScriptedServer()) {
             ProxyConfig config = ProxyConfig.parse(ProxyFixture.json(ProxyFixture.config(discovery.address())));
-            var serve =
-                    new ProxyServer(config, (now, event, actions) -> watcher().handle(event, actions), transport);
+            var server =
+                    new ProxyServer(config, (now, event, actions) -> watching().handle(event, actions), transport);
             try {
-                serve.start();
+                server.start();
                 assertThat(discovery.accept().read().first()).contains("?from=41&");
             } finally {
-                serve.stop();
+                server.stop();
             }
         }
     }
 
-    /** One entry that makes no sense must not cost the others. */
+    /** A snapshot has one valid entry among malformed ones. The valid one is applied, and the others are left out. */
     @Test
-    void leavesMalformedEntriesOut() throws Exception {
-        try (var proxy = new ProxyFixture(watcher())) {
+    void leavesOutMalformedEntries() throws Exception {
+        try (var proxy = new ProxyFixture(watching())) {
             proxy.next(EndpointUpdate.class);
             RawConnection call = proxy.discovery.accept();
             call.read();
@@ -418,13 +455,12 @@
     }
 
     @Test
-    void fetchesTheWholeListOnce() throws Exception {
-        try (var proxy =
-                new ProxyFixture((Event event, java.util.function.Consumer<gaugegw.balancer.api.Action> actions) -> {
-                    if (event instanceof EndpointUpdate m && m.kind() == UpdateKind.CACHED) {
-                        actions.accept(new FetchEndpoints());
-                    }
-                })) {
+    void fetchesTheCompleteListOnce() throws Exception {
+        try (var proxy = new ProxyFixture((event, actions) -> {
+            if (event instanceof EndpointUpdate update && update.kind() == UpdateKind.CACHED) {
+                actions.accept(new FetchEndpoints());
+            }
+        })) {
             proxy.next(EndpointUpdate.class);
             RawConnection call = proxy.discovery.accept();
             assertThat(call.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
@@ -433,11 +469,14 @@
         }
     }
 
-    /** Two calls at once could tell old news after new: the watch goes on from the whole list, and fails with it. */
+    /**
+     * The load balancer fetches the complete list during a watch. The held call is cancelled, as an older update could
+     * arrive after a newer one; the watch fails with the fetch, and continues from the list that is fetched.
+     */
     @Test
-    void aWholeListIsNeverAskedForBesideTheWatch() throws Exception {
+    void aFetchReplacesTheCallOfTheWatch() throws Exception {
         try (var proxy = new ProxyFixture((event, actions) -> {
-                    watcher().handle(event, actions);
+                    watching().handle(event, actions);
                     if (event instanceof RequestArrived a) {
                         actions.accept(new FetchEndpoints());
                         actions.accept(new Reject(a.requestId(), 0));
@@ -447,61 +486,67 @@
             RawConnection watch = proxy.list();
             client.send(ProxyFixture.get("r1")).read();
             assertThat(watch.ended()).isTrue();
-            try (RawConnection failing = proxy.discovery.accept()) {
-                assertThat(failing.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
+            try (RawConnection failingFetch = proxy.discovery.accept()) {
+                assertThat(failingFetch.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
             }
-            RawConnection whole = proxy.discovery.accept();
-            assertThat(whole.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
-            whole.send(ScriptedServer.ok(ProxyFixture.list(45, true)));
+            RawConnection fetch = proxy.discovery.accept();
+            assertThat(fetch.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
+            fetch.send(ScriptedServer.ok(ProxyFixture.list(45, true)));
             assertThat(proxy.discovery.accept().read().first()).contains("?from=45&");
         }
     }
 
-    /** A new configuration: the watch moves at once, asks for the whole list, and the known backends serve meanwhile. */
+    /**
+     * A reload moves discovery to another address. The watch moves at once and fetches the complete list from there; the
+     * cached endpoints serve until it has arrived.
+     */
     @Test
-    void movesToTheDiscoveryOfANewConfiguration() throws Exception {
+    void movesToTheDiscoveryAddressOfAReload() throws Exception {
         try (var backend = new ScriptedServer();
-                var moved = new ScriptedServer();
+                var newDiscovery = new ScriptedServer();
                 var proxy = new ProxyFixture(
                         (event, actions) -> {
-                            watcher().handle(event, actions);
+                            watching().handle(event, actions);
                             ProxyFixture.sendTo("s0").handle(event, actions);
                         },
                         backend);
                 var client = proxy.client()) {
             backend.always(ScriptedServer.ok("x"));
-            RawConnection old = proxy.discovery.accept();
-            old.read();
-            proxy.reload(ProxyFixture.config(moved.address()));
-            assertThat(old.ended()).isTrue();
-            RawConnection call = moved.accept();
+            RawConnection oldCall = proxy.discovery.accept();
+            oldCall.read();
+            proxy.reload(ProxyFixture.config(newDiscovery.address()));
+            assertThat(oldCall.ended()).isTrue();
+            RawConnection call = newDiscovery.accept();
             assertThat(call.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
             assertThat(client.send(ProxyFixture.get("r1")).read().status()).isEqualTo(200);
             call.send(ScriptedServer.ok(ProxyFixture.list(3, true, ProxyFixture.entry("s7", "127.0.0.1:1", "ready"))));
-            assertThat(moved.accept().read().first()).contains("?from=3&");
+            assertThat(newDiscovery.accept().read().first()).contains("?from=3&");
             assertThat(client.send(ProxyFixture.get("r2")).read().status()).isEqualTo(502);
         }
     }
 
+    /**
+     * Two reloads name no valid configuration: the watch goes on as it was. Of two valid ones in a row the last counts, and
+     * one that names the same address again changes nothing.
+     */
     @Test
-    void aBadConfigurationLeavesTheWatchAlone() throws Exception {
-        try (var moved = new ScriptedServer();
-                var proxy = new ProxyFixture(watcher())) {
+    void anInvalidReloadLeavesTheWatchAlone() throws Exception {
+        try (var newDiscovery = new ScriptedServer();
+                var proxy = new ProxyFixture(watching())) {
             RawConnection call = proxy.discovery.accept();
             call.read();
             proxy.reload("{\"discovery\":");
             proxy.reload(ProxyFixture.config("nowhere"));
             call.send(ScriptedServer.ok(ProxyFixture.list(42, false)));
-            RawConnection next = proxy.discovery.accept();
-            assertThat(next.read().first()).contains("?from=42&");
-            // The last of two counts, and one that names the same address again changes nothing.
+            RawConnection nextCall = proxy.discovery.accept();
+            assertThat(nextCall.read().first()).contains("?from=42&");
             proxy.reload(ProxyFixture.config("127.0.0.1:1"));
-            proxy.reload(ProxyFixture.config(moved.address()));
-            RawConnection last = moved.accept();
-            last.read();
-            proxy.reload(ProxyFixture.config(moved.address()));
-            last.send(ScriptedServer.ok(ProxyFixture.list(7, true)));
-            assertThat(moved.accept().read().first()).contains("?from=7&");
+            proxy.reload(ProxyFixture.config(newDiscovery.address()));
+            RawConnection newCall = newDiscovery.accept();
+            newCall.read();
+            proxy.reload(ProxyFixture.config(newDiscovery.address()));
+            newCall.send(ScriptedServer.ok(ProxyFixture.list(7, true)));
+            assertThat(newDiscovery.accept().read().first()).contains("?from=7&");
         }
     }
 }
