--- a/src/main/java/gaugegw/proxy/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamConnectionPool.java
@@ -99,7 +99,7 @@
                 continue;
             }
             // After a pause of the event loop bytes may have been received that its handlers have not seen yet.
-            if (context.transport().silent().test(connection.channel())) {
+            if (context.transport().isSilent(connection.channel())) {
                 return connection;
             }
             latestFirst.remove();
