--- a/src/test/java/gaugegw/proxy/client/ClientDisconnectTest.java
+++ b/src/test/java/gaugegw/proxy/client/ClientDisconnectTest.java
@@ -34,7 +34,7 @@
     /** Edits the configuration: long time limits, and one endpoint {@code s0} that can't be connected to. */
     static UnaryOperator<String> withEndpoint(FullBacklog backend) {
         String endpoints = "\"servers\":[" + ProxyFixture.entry("s0", backend.address(), "ready") + "]";
-        return config -> ProxyFixture.PATIENT.apply(config).replace("\"servers\":[]", endpoints);
+        return config -> ProxyFixture.LONG_TIMEOUTS.apply(config).replace("\"servers\":[]", endpoints);
     }
 
     @Test
@@ -57,14 +57,15 @@
     void queuedRequestIsNotSentAfterADisconnect(boolean reset) throws Exception {
         var clients = new ArrayList<RawConnection>();
         try (var backend = new ScriptedServer();
-                var proxy = ProxyFixture.inService(ProxyFixture.PATIENT, backend)) {
+                var proxy = ProxyFixture.withRealLoadBalancer(ProxyFixture.LONG_TIMEOUTS, backend)) {
             var attempts = new ArrayList<RawConnection>();
-            for (int i = 0; clients.size() < proxy.sends.size() + 2; i++) {
-                clients.add(proxy.client().send(ProxyFixture.patient("r" + i)));
+            for (int i = 0; clients.size() < proxy.startedAttempts.size() + 2; i++) {
+                clients.add(proxy.client().send(ProxyFixture.getWithLongTimeout("r" + i)));
                 proxy.next(RequestArrived.class);
                 proxy.settle();
             }
-            List<String> sent = proxy.sends.stream().map(s -> s.requestId()).toList();
+            List<String> sent =
+                    proxy.startedAttempts.stream().map(s -> s.requestId()).toList();
             for (int i = 0; i < sent.size(); i++) {
                 attempts.add(backend.accept());
             }
@@ -81,8 +82,10 @@
                 attempt.send(ScriptedServer.answer("200 OK", "x", "Connection: close"));
                 proxy.next(AttemptEnded.class);
                 proxy.settle();
-                while (attempted.size() < proxy.sends.size()) {
-                    attempted.add(List.copyOf(proxy.sends).get(attempted.size()).requestId());
+                while (attempted.size() < proxy.startedAttempts.size()) {
+                    attempted.add(List.copyOf(proxy.startedAttempts)
+                            .get(attempted.size())
+                            .requestId());
                     attempts.add(backend.accept());
                 }
             }
@@ -91,8 +94,8 @@
                     .doesNotContain("r" + queued)
                     .doesNotHaveDuplicates();
             // Nothing of it remains: neither the request nor its connection.
-            assertThat(proxy.held()).isZero();
-            ScriptedServer.until(() -> proxy.connected() == clients.size() - 1);
+            assertThat(proxy.openRequests()).isZero();
+            ScriptedServer.until(() -> proxy.connectedClients() == clients.size() - 1);
         } finally {
             for (RawConnection client : clients) {
                 client.close();
@@ -110,10 +113,11 @@
         try (var full = new FullBacklog();
                 var proxy = new ProxyFixture(
                         ProxyFixture.watching("s1"),
-                        ProxyFixture.PATIENT.andThen(c -> c.replace("\"cancel\":true", "\"cancel\":false"))::apply);
+                        ProxyFixture.LONG_TIMEOUTS.andThen(c -> c.replace("\"cancel\":true", "\"cancel\":false"))
+                                ::apply);
                 var client = proxy.client()) {
             proxy.list(ProxyFixture.entry("s1", full.address(), "ready"));
-            client.send(ProxyFixture.patient("r1"));
+            client.send(ProxyFixture.getWithLongTimeout("r1"));
             proxy.next(RequestArrived.class);
             disconnect(client, reset);
             assertThat(proxy.next(ClientDisconnected.class).requestId()).isEqualTo("r1");
@@ -121,7 +125,7 @@
             assertThat(ended.outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
             assertThat(ended.requestEnded()).isTrue();
             proxy.settle();
-            assertThat(proxy.held()).isZero();
+            assertThat(proxy.openRequests()).isZero();
         }
     }
 
@@ -138,11 +142,11 @@
                             }
                         },
                         withEndpoint(full))) {
-            RawConnection client = proxy.client().send(ProxyFixture.patient("r1"));
+            RawConnection client = proxy.client().send(ProxyFixture.getWithLongTimeout("r1"));
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
             client.close();
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
-            ScriptedServer.until(() -> proxy.held() == 0);
+            ScriptedServer.until(() -> proxy.openRequests() == 0);
         }
     }
 
@@ -153,11 +157,12 @@
     @Test
     void writtenAttemptGoesOnWithoutCancellation() throws Exception {
         try (var backend = new ScriptedServer();
-                var proxy = ProxyFixture.inService(
-                        c -> ProxyFixture.PATIENT.apply(c).replace("\"cancel\":true", "\"cancel\":false"), backend)) {
+                var proxy = ProxyFixture.withRealLoadBalancer(
+                        c -> ProxyFixture.LONG_TIMEOUTS.apply(c).replace("\"cancel\":true", "\"cancel\":false"),
+                        backend)) {
             RawConnection attempt;
             try (var client = proxy.client()) {
-                client.send(ProxyFixture.patient("r1"));
+                client.send(ProxyFixture.getWithLongTimeout("r1"));
                 attempt = backend.accept();
                 attempt.read();
             }
@@ -167,7 +172,7 @@
             assertThat(ended.outcome()).isEqualTo(AttemptOutcome.SUCCESS);
             assertThat(ended.requestEnded()).isTrue();
             proxy.settle();
-            assertThat(proxy.held()).isZero();
+            assertThat(proxy.openRequests()).isZero();
         }
     }
 }
--- a/src/test/java/gaugegw/proxy/client/ClientHalfCloseTest.java
+++ b/src/test/java/gaugegw/proxy/client/ClientHalfCloseTest.java
@@ -21,7 +21,7 @@
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
-            client.send(ProxyFixture.patient("r1"));
+            client.send(ProxyFixture.getWithLongTimeout("r1"));
             backend.accept().read();
             client.socket.shutdownOutput();
             assertThat(client.read().status()).isEqualTo(502);
@@ -38,7 +38,7 @@
     void pipelinedRequestIsRejectedAfterHalfClose() throws Exception {
         try (var proxy = new ProxyFixture(SILENT);
                 var client = proxy.client()) {
-            client.send(ProxyFixture.patient("r1") + ProxyFixture.patient("r2"));
+            client.send(ProxyFixture.getWithLongTimeout("r1") + ProxyFixture.getWithLongTimeout("r2"));
             proxy.next(RequestArrived.class);
             client.socket.shutdownOutput();
             assertThat(client.read().status()).isEqualTo(502);
--- a/src/test/java/gaugegw/proxy/client/UnreadDisconnectTest.java
+++ b/src/test/java/gaugegw/proxy/client/UnreadDisconnectTest.java
@@ -66,12 +66,12 @@
             }
         };
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(module, ProxyFixture.PATIENT, backend);
-                var first = proxy.client().send(ProxyFixture.patient("r1"));
+                var proxy = new ProxyFixture(module, ProxyFixture.LONG_TIMEOUTS, backend);
+                var first = proxy.client().send(ProxyFixture.getWithLongTimeout("r1"));
                 var queued = proxy.client()) {
             RawConnection attempt = backend.accept();
             attempt.read();
-            queued.send(ProxyFixture.patient("r2"));
+            queued.send(ProxyFixture.getWithLongTimeout("r2"));
             while (!proxy.next(RequestArrived.class).requestId().equals("r2")) {
                 // skip the request before
             }
@@ -83,7 +83,7 @@
                 release.countDown();
             }
             try (var next = proxy.client()) {
-                next.send(ProxyFixture.patient("next"));
+                next.send(ProxyFixture.getWithLongTimeout("next"));
                 assertThat(attempt.read().header("X-Request-ID")).isEqualTo("next");
                 assertThat(proxy.next(ClientDisconnected.class).requestId()).isEqualTo(id);
                 AttemptEnded ended = proxy.next(AttemptEnded.class);
@@ -112,13 +112,13 @@
         };
         try (var backend = new FullBacklog();
                 var proxy = new ProxyFixture(module, ClientDisconnectTest.withEndpoint(backend));
-                var client = proxy.client().send(ProxyFixture.patient("r1"));
+                var client = proxy.client().send(ProxyFixture.getWithLongTimeout("r1"));
                 var holding = proxy.client()) {
             proxy.next(RequestArrived.class);
             proxy.settle();
             RawConnection attempt;
             try {
-                holding.send(ProxyFixture.patient("hold"));
+                holding.send(ProxyFixture.getWithLongTimeout("hold"));
                 proxy.next(RequestArrived.class);
                 attempt = backend.admit();
                 disconnectUnread(client, kind);
@@ -174,7 +174,7 @@
     void disconnectBehindUnservedBytesIsNoticed(boolean reset) throws Exception {
         try (var proxy = new ProxyFixture(SILENT);
                 var client = proxy.client()) {
-            client.send(ProxyFixture.patient("r1") + "RUBBISH\r\n\r\n");
+            client.send(ProxyFixture.getWithLongTimeout("r1") + "RUBBISH\r\n\r\n");
             proxy.next(RequestArrived.class);
             String chunk = "x".repeat(65_536);
             try {
@@ -186,7 +186,7 @@
             }
             ClientDisconnectTest.disconnect(client, reset);
             assertThat(proxy.next(ClientDisconnected.class).requestId()).isEqualTo("r1");
-            ScriptedServer.until(() -> proxy.connected() == 0);
+            ScriptedServer.until(() -> proxy.connectedClients() == 0);
         }
     }
 }
--- a/src/test/java/gaugegw/proxy/dispatch/SimultaneousEventsTest.java
+++ b/src/test/java/gaugegw/proxy/dispatch/SimultaneousEventsTest.java
@@ -52,16 +52,16 @@
     void aPooledConnectionWithUnreadInputIsNotReused(String input) throws Exception {
         var unblock = new CountDownLatch(1);
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(blockingAt("r2", unblock, 0), ProxyFixture.PATIENT, backend);
+                var proxy = new ProxyFixture(blockingAt("r2", unblock, 0), ProxyFixture.LONG_TIMEOUTS, backend);
                 var client = proxy.client()) {
-            client.send(ProxyFixture.patient("r1"));
+            client.send(ProxyFixture.getWithLongTimeout("r1"));
             RawConnection attempt = backend.accept();
             attempt.read();
             attempt.send(ScriptedServer.ok("x"));
             assertThat(client.read().status()).isEqualTo(200);
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.SUCCESS);
             long answeredNanos = System.nanoTime();
-            client.send(ProxyFixture.patient("r2"));
+            client.send(ProxyFixture.getWithLongTimeout("r2"));
             awaitArrival(proxy, "r2");
             switch (input) {
                 case "second response" -> attempt.send(ScriptedServer.ok("not asked for"));
@@ -79,7 +79,7 @@
             assertThat(client.read().body()).isEqualTo("y");
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.SUCCESS);
             proxy.settle();
-            assertThat(proxy.held()).isZero();
+            assertThat(proxy.openRequests()).isZero();
         }
     }
 
@@ -91,14 +91,15 @@
     void aResponseArrivesAsItsAttemptTimesOut() throws Exception {
         var unblock = new CountDownLatch(1);
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(blockingAt("other", unblock, 100_000), ProxyFixture.PATIENT, backend);
+                var proxy =
+                        new ProxyFixture(blockingAt("other", unblock, 100_000), ProxyFixture.LONG_TIMEOUTS, backend);
                 var client = proxy.client();
                 var other = proxy.client()) {
-            client.send(ProxyFixture.patient("r1"));
+            client.send(ProxyFixture.getWithLongTimeout("r1"));
             RawConnection attempt = backend.accept();
             attempt.read();
             long sentNanos = System.nanoTime();
-            other.send(ProxyFixture.patient("other"));
+            other.send(ProxyFixture.getWithLongTimeout("other"));
             awaitArrival(proxy, "other");
             attempt.send(ScriptedServer.ok("x"));
             ScriptedServer.until(() -> System.nanoTime() - sentNanos > 150_000_000);
@@ -113,9 +114,10 @@
             assertThat(proxy.next(AttemptEnded.class).requestId()).isEqualTo("other");
             proxy.settle();
             assertThat(proxy.events).noneMatch(AttemptEnded.class::isInstance);
-            assertThat(proxy.held()).isZero();
+            assertThat(proxy.openRequests()).isZero();
             // A late response of the first request must not become that of the next one.
-            assertThat(client.send(ProxyFixture.patient("r3")).read().body()).isEqualTo("y");
+            assertThat(client.send(ProxyFixture.getWithLongTimeout("r3")).read().body())
+                    .isEqualTo("y");
         }
     }
 
@@ -128,12 +130,12 @@
     void aClientDisconnectsAsItsResponseArrives(boolean reset) throws Exception {
         var unblock = new CountDownLatch(1);
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(blockingAt("other", unblock, 0), ProxyFixture.PATIENT, backend);
+                var proxy = new ProxyFixture(blockingAt("other", unblock, 0), ProxyFixture.LONG_TIMEOUTS, backend);
                 var other = proxy.client()) {
-            RawConnection client = proxy.client().send(ProxyFixture.patient("r1"));
+            RawConnection client = proxy.client().send(ProxyFixture.getWithLongTimeout("r1"));
             RawConnection attempt = backend.accept();
             attempt.read();
-            other.send(ProxyFixture.patient("other"));
+            other.send(ProxyFixture.getWithLongTimeout("other"));
             awaitArrival(proxy, "other");
             attempt.send(ScriptedServer.ok("x"));
             client.socket.setSoLinger(reset, 0);
@@ -147,9 +149,9 @@
             assertThat(proxy.next(AttemptEnded.class).requestId()).isEqualTo("other");
             proxy.settle();
             assertThat(proxy.events).noneMatch(AttemptEnded.class::isInstance);
-            assertThat(proxy.held()).isZero();
+            assertThat(proxy.openRequests()).isZero();
             // One is left; the connection of settle() may take a moment to be closed.
-            ScriptedServer.until(() -> proxy.connected() == 1);
+            ScriptedServer.until(() -> proxy.connectedClients() == 1);
         }
     }
 
@@ -171,16 +173,16 @@
                                 watching.handle(event, actions);
                             }
                         },
-                        ProxyFixture.PATIENT,
+                        ProxyFixture.LONG_TIMEOUTS,
                         backend);
                 var client = proxy.client();
                 var other = proxy.client()) {
             RawConnection watch = proxy.discovery.accept();
             watch.read();
-            client.send(ProxyFixture.patient("r1"));
+            client.send(ProxyFixture.getWithLongTimeout("r1"));
             RawConnection attempt = backend.accept();
             attempt.read();
-            other.send(ProxyFixture.patient("other"));
+            other.send(ProxyFixture.getWithLongTimeout("other"));
             awaitArrival(proxy, "other");
             attempt.send(ScriptedServer.ok("x"));
             watch.send(ScriptedServer.ok(
@@ -189,7 +191,7 @@
             assertThat(client.read().body()).isEqualTo("x");
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.SUCCESS);
             assertThat(attempt.ended()).isTrue();
-            client.send(ProxyFixture.patient("r2"));
+            client.send(ProxyFixture.getWithLongTimeout("r2"));
             assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
             assertThat(client.read().status()).isEqualTo(502);
         }
@@ -204,13 +206,13 @@
         var clients = new ArrayList<RawConnection>();
         try (var backend = new ScriptedServer();
                 var readyBackend = new ScriptedServer();
-                var proxy = ProxyFixture.inService(ProxyFixture.PATIENT, backend)) {
-            while (clients.size() < proxy.sends.size() + 2) {
-                clients.add(proxy.client().send(ProxyFixture.patient("r" + clients.size())));
+                var proxy = ProxyFixture.withRealLoadBalancer(ProxyFixture.LONG_TIMEOUTS, backend)) {
+            while (clients.size() < proxy.startedAttempts.size() + 2) {
+                clients.add(proxy.client().send(ProxyFixture.getWithLongTimeout("r" + clients.size())));
                 proxy.next(RequestArrived.class);
                 proxy.settle();
             }
-            int sentCount = proxy.sends.size();
+            int sentCount = proxy.startedAttempts.size();
             proxy.list(
                     ProxyFixture.entry("s0", backend.address(), "draining"),
                     ProxyFixture.entry("s1", readyBackend.address(), "ready"));
@@ -226,7 +228,8 @@
                 proxy.next(AttemptEnded.class);
             }
             proxy.settle();
-            List<StartAttempt> laterAttempts = List.copyOf(proxy.sends).subList(sentCount, proxy.sends.size());
+            List<StartAttempt> laterAttempts =
+                    List.copyOf(proxy.startedAttempts).subList(sentCount, proxy.startedAttempts.size());
             assertThat(laterAttempts)
                     .isNotEmpty()
                     .allMatch(start -> start.endpointId().equals("s1"));
--- a/src/test/java/gaugegw/proxy/lifecycle/ProxyServerTest.java
+++ b/src/test/java/gaugegw/proxy/lifecycle/ProxyServerTest.java
@@ -40,7 +40,7 @@
         var unreachable = new ScriptedServer();
         unreachable.close();
         try (var backend = new ScriptedServer();
-                var proxy = ProxyFixture.inService(unreachable, backend);
+                var proxy = ProxyFixture.withRealLoadBalancer(unreachable, backend);
                 var client = proxy.client()) {
             backend.always(ScriptedServer.ok("served"));
             RawConnection watch = proxy.discovery.accept();
@@ -125,7 +125,7 @@
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
-            client.send(ProxyFixture.patient("r1"));
+            client.send(ProxyFixture.getWithLongTimeout("r1"));
             backend.accept().read();
             CompletableFuture<Void> drained = CompletableFuture.runAsync(proxy::drain);
             assertThat(client.read().status()).isEqualTo(502);
@@ -142,7 +142,7 @@
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
                 var client = proxy.client()) {
-            client.send(ProxyFixture.patient("r1") + ProxyFixture.patient("r2"));
+            client.send(ProxyFixture.getWithLongTimeout("r1") + ProxyFixture.getWithLongTimeout("r2"));
             backend.accept().read();
             CompletableFuture<Void> drained = CompletableFuture.runAsync(proxy::drain);
             assertThat(client.read().status()).isEqualTo(502);
@@ -280,7 +280,7 @@
             assertThat(slow.ended()).isTrue();
             assertThat(proxy.events).noneMatch(RequestArrived.class::isInstance);
             // The connection lingers, but no drain waits for it.
-            ScriptedServer.until(() -> proxy.connected() == 0);
+            ScriptedServer.until(() -> proxy.connectedClients() == 0);
         }
     }
 
--- a/src/test/java/gaugegw/proxy/testing/ProxyFixture.java
+++ b/src/test/java/gaugegw/proxy/testing/ProxyFixture.java
@@ -46,7 +46,7 @@
     /** The events that the decision module was given, in order; {@link #next} removes them. */
     public final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
     /** The attempts that the decision module asked to start, in order. */
-    public final BlockingQueue<Action.StartAttempt> sends = new LinkedBlockingQueue<>();
+    public final BlockingQueue<Action.StartAttempt> startedAttempts = new LinkedBlockingQueue<>();
     /** The discovery server, which the test plays. */
     public final ScriptedServer discovery = new ScriptedServer();
 
@@ -55,7 +55,7 @@
     public final InetSocketAddress address;
 
     /** Raises all time limits of the settings to a minute, so that nothing expires while a test waits. */
-    public static final UnaryOperator<String> PATIENT =
+    public static final UnaryOperator<String> LONG_TIMEOUTS =
             config -> config.replaceAll("(aim|deadline|window)_us\":\\d+", "$1_us\":60000000")
                     .replace("connect_timeout_us\":200000", "connect_timeout_us\":60000000");
 
@@ -79,23 +79,24 @@
         this(settings -> (now, event, actions) -> module.handle(event, actions), sockets, idleUs, c -> c, backends);
     }
 
-    /** A proxy whose configuration is edited; see {@link #PATIENT}. */
+    /** A proxy whose configuration is edited; see {@link #LONG_TIMEOUTS}. */
     public ProxyFixture(Module module, UnaryOperator<String> edit, ScriptedServer... backends) throws Exception {
         this(settings -> (now, event, actions) -> module.handle(event, actions), 1_024, 15_000_000, edit, backends);
     }
 
     /** A proxy with the real decision module. */
-    public static ProxyFixture inService(ScriptedServer... backends) throws Exception {
-        return inService(c -> c, backends);
+    public static ProxyFixture withRealLoadBalancer(ScriptedServer... backends) throws Exception {
+        return withRealLoadBalancer(c -> c, backends);
     }
 
     /** A proxy with the real decision module whose configuration is edited. */
-    public static ProxyFixture inService(UnaryOperator<String> edit, ScriptedServer... backends) throws Exception {
+    public static ProxyFixture withRealLoadBalancer(UnaryOperator<String> edit, ScriptedServer... backends)
+            throws Exception {
         return new ProxyFixture(EarliestDeadlineLoadBalancer::new, 1_024, 15_000_000, edit, backends);
     }
 
     /** A proxy with the real decision module under a limit of descriptors. */
-    public static ProxyFixture inService(int sockets, ScriptedServer... backends) throws Exception {
+    public static ProxyFixture withRealLoadBalancer(int sockets, ScriptedServer... backends) throws Exception {
         return new ProxyFixture(EarliestDeadlineLoadBalancer::new, sockets, 15_000_000, c -> c, backends);
     }
 
@@ -117,7 +118,7 @@
             events.add(event);
             module.handle(now, event, action -> {
                 if (action instanceof Action.StartAttempt send) {
-                    sends.add(send);
+                    startedAttempts.add(send);
                 }
                 actions.accept(action);
             });
@@ -207,7 +208,7 @@
     }
 
     /** As {@link #get}, with a timeout longer than any test. */
-    public static String patient(String id) {
+    public static String getWithLongTimeout(String id) {
         return get(id).replace("1900m", "60000m");
     }
 
@@ -241,12 +242,12 @@
     }
 
     /** Returns the number of requests that await a response or have attempts in flight. */
-    public int held() {
+    public int openRequests() {
         return serve.openRequests();
     }
 
     /** Returns the number of clients' connections. */
-    public int connected() {
+    public int connectedClients() {
         return serve.connectedClients();
     }
 
--- a/src/test/java/gaugegw/proxy/transport/DescriptorReserveTest.java
+++ b/src/test/java/gaugegw/proxy/transport/DescriptorReserveTest.java
@@ -83,14 +83,14 @@
     @CsvSource({"silent,false", "silent,true", "idle,false", "idle,true", "half,false", "half,true"})
     void getsItsEndpointListAndServesBesideManyClients(String kind, boolean discoveryCloses) throws Exception {
         try (var backend = new ScriptedServer();
-                var proxy = ProxyFixture.inService(DESCRIPTOR_LIMIT)) {
+                var proxy = ProxyFixture.withRealLoadBalancer(DESCRIPTOR_LIMIT)) {
             backend.always(ScriptedServer.ok("served"));
             connect(proxy.address.getPort(), MANY_CLIENTS, sentBy(kind));
             if (discoveryCloses) {
                 proxy.discovery.accept().close();
             }
             proxy.settle();
-            assertThat(proxy.connected()).isPositive();
+            assertThat(proxy.connectedClients()).isPositive();
             proxy.discovery.always(ScriptedServer.ok(
                     ProxyFixture.list(42, true, ProxyFixture.entry("s0", backend.address(), "ready"))));
             ScriptedServer.until(() -> answers(proxy.address.getPort(), READY, 200));
@@ -143,13 +143,13 @@
             long answeredAtNs = System.nanoTime();
             disconnectClients();
             clients.clear();
-            ScriptedServer.until(() -> proxy.connected() == 0 && System.nanoTime() - answeredAtNs > 20_000_000);
+            ScriptedServer.until(() -> proxy.connectedClients() == 0 && System.nanoTime() - answeredAtNs > 20_000_000);
             connect(proxy.address.getPort(), requests, "");
-            ScriptedServer.until(() -> proxy.connected() == requests);
+            ScriptedServer.until(() -> proxy.connectedClients() == requests);
             connectWithRequests(proxy, "blocker", 1);
             // All are read in one turn of the loop, and the backends' bytes arrive in the middle of it.
             for (int i = 0; i < requests; i++) {
-                clients.get(i).send(ProxyFixture.patient("again" + i));
+                clients.get(i).send(ProxyFixture.getWithLongTimeout("again" + i));
             }
             blockerMayEnd.countDown();
             proxy.next(RequestArrived.class);
@@ -169,7 +169,7 @@
     /** Connects clients that each send a request, and waits until all requests have arrived. */
     private void connectWithRequests(ProxyFixture proxy, String name, int count) throws Exception {
         for (int i = 0; i < count; i++) {
-            connect(proxy.address.getPort(), 1, ProxyFixture.patient(count == 1 ? name : name + i));
+            connect(proxy.address.getPort(), 1, ProxyFixture.getWithLongTimeout(count == 1 ? name : name + i));
             proxy.next(RequestArrived.class);
         }
     }
--- a/src/test/java/gaugegw/proxy/upstream/UpstreamEndpointUpdateTest.java
+++ b/src/test/java/gaugegw/proxy/upstream/UpstreamEndpointUpdateTest.java
@@ -20,7 +20,7 @@
     @Test
     void drainingEndpointAbortsAttemptsThatStillConnect() throws Exception {
         try (var full = new FullBacklog();
-                var proxy = new ProxyFixture(ProxyFixture.watching("s1"), ProxyFixture.PATIENT);
+                var proxy = new ProxyFixture(ProxyFixture.watching("s1"), ProxyFixture.LONG_TIMEOUTS);
                 var client = proxy.client()) {
             RawConnection watch = proxy.list(ProxyFixture.entry("s1", full.address(), "ready"));
             client.send(ProxyFixture.get("r1"));
