--- a/src/main/java/gaugegw/proxy/config/InvalidConfigException.java
+++ b/src/main/java/gaugegw/proxy/config/InvalidConfigException.java
@@ -11,13 +11,13 @@
 
     private final String field;
     private final String found;
-    private final String wanted;
+    private final String expected;
 
-    private InvalidConfigException(String message, String field, String found, String wanted) {
+    private InvalidConfigException(String message, String field, String found, String expected) {
         super(message);
         this.field = field;
         this.found = found;
-        this.wanted = wanted;
+        this.expected = expected;
     }
 
     /** The environment does not say where the configuration is. */
@@ -43,13 +43,13 @@
     }
 
     /** A text can't be read, such as an address. */
-    static InvalidConfigException malformed(String field, String found, String wanted) {
-        return new InvalidConfigException("'" + field + "': '" + found + "' is no " + wanted, field, found, wanted);
+    static InvalidConfigException malformed(String field, String found, String expected) {
+        return new InvalidConfigException("'" + field + "': '" + found + "' is no " + expected, field, found, expected);
     }
 
     /** A value is of the wrong type, out of range or missing. */
-    static InvalidConfigException notAllowed(String field, String found, String wanted) {
-        return new InvalidConfigException("'" + field + "': " + wanted + " is wanted", field, found, wanted);
+    static InvalidConfigException notAllowed(String field, String found, String expected) {
+        return new InvalidConfigException("'" + field + "': " + expected + " is wanted", field, found, expected);
     }
 
     /** A setting is missing or can't be read; the reason names it. */
@@ -71,8 +71,8 @@
         return found;
     }
 
-    /** Returns what is wanted in the field; empty where the message alone tells. */
-    public String wanted() {
-        return wanted;
+    /** Returns what is expected in the field; empty where the message alone tells. */
+    public String expected() {
+        return expected;
     }
 }
--- a/src/main/java/gaugegw/proxy/config/JsonTrees.java
+++ b/src/main/java/gaugegw/proxy/config/JsonTrees.java
@@ -51,7 +51,7 @@
             case VALUE_NUMBER_FLOAT -> NODES.numberNode(parser.getDoubleValue());
             case VALUE_TRUE, VALUE_FALSE -> NODES.booleanNode(parser.getBooleanValue());
             case VALUE_NULL -> NODES.nullNode();
-            default -> throw new JsonParseException(parser, "no value where one is wanted");
+            default -> throw new JsonParseException(parser, "value expected");
         };
     }
 
--- a/src/main/java/gaugegw/proxy/config/ProxyConfig.java
+++ b/src/main/java/gaugegw/proxy/config/ProxyConfig.java
@@ -11,13 +11,13 @@
 import java.nio.file.Path;
 
 /**
- * What a proxy is configured with at its start. Immutable, as long as nobody changes {@code cachedEndpoints}.
+ * What a proxy is configured with at its start. Immutable; {@code cachedEndpoints} is not to be modified.
  *
  * @param name the proxy's name, the same after a restart
  * @param listenAddress the address to accept clients at
  * @param discoveryAddress the address of discovery
  * @param descriptorLimit the number of file descriptors that the process may hold
- * @param cachedEndpoints the endpoint list as this proxy last had it, in discovery's form; a {@link MissingNode} where
+ * @param cachedEndpoints the endpoint list that this proxy last received, in discovery's form; a {@link MissingNode} where
  *     there is none
  * @param settings what the load balancer is to keep to
  * @param upstreamIdleTimeoutUs a backend closes a connection that has been idle for this time, in microseconds
@@ -59,7 +59,7 @@
 
     /**
      * Returns whether this is the proxy's first start, as far as can be known: it has no endpoint list that discovery
-     * has ever changed. A restarted proxy is missed by its clients meanwhile, and skips what it can do without.
+     * has ever changed. A restarted proxy already has clients that wait for it, so that it skips optional steps of its start.
      */
     public boolean isFirstStart() {
         return cachedEndpoints.path("version").asLong() == 0;
--- a/src/main/java/gaugegw/proxy/lifecycle/LoadClassesCommand.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/LoadClassesCommand.java
@@ -11,7 +11,7 @@
  * here, slows each start.
  */
 public final class LoadClassesCommand {
-    /** Time limit of the warm-up, in milliseconds; nobody waits for this process to be ready. */
+    /** Time limit of the warm-up, in milliseconds; this process has no time by which to be ready. */
     private static final long WARMUP_LIMIT_MS = 60_000;
 
     private LoadClassesCommand() {}
--- a/src/main/java/gaugegw/proxy/logging/RateLimitedLog.java
+++ b/src/main/java/gaugegw/proxy/logging/RateLimitedLog.java
@@ -19,7 +19,7 @@
     private int lines;
     private int dropped;
 
-    /** Writes a line, or drops it where this second has had its lines. Line breaks in the text become spaces. */
+    /** Writes a line, or drops it once the lines of this second are used up. Line breaks in the text become spaces. */
     public void line(String text) {
         long now = System.nanoTime() / NANOS_PER_SECOND;
         if (now != second) {
--- a/src/main/java/gaugegw/proxy/transport/ConnectionLimiter.java
+++ b/src/main/java/gaugegw/proxy/transport/ConnectionLimiter.java
@@ -22,7 +22,7 @@
     private final EvictionQueue idleBackends = new EvictionQueue(0);
     /** Clients from which no complete request has arrived yet. */
     private final EvictionQueue newClients = new EvictionQueue(FIRST_REQUEST_GRACE_NS);
-    /** Clients that have had a response and have sent no complete request since. */
+    /** Clients that have received a response and have sent no complete request since. */
     private final EvictionQueue idleClients = new EvictionQueue(0);
 
     private int clients;
--- a/src/main/java/gaugegw/proxy/transport/SocketTransport.java
+++ b/src/main/java/gaugegw/proxy/transport/SocketTransport.java
@@ -34,7 +34,7 @@
     private final EventLoop loop;
     private final ServerBootstrap server;
     private final Bootstrap client;
-    /** Takes what {@link #isSilent} reads, which nobody looks at. */
+    /** Receives the byte that {@link #isSilent} may read; its content is not used. */
     private final ByteBuffer probe = ByteBuffer.allocateDirect(1);
 
     SocketTransport() {
--- a/src/test/java/gaugegw/proxy/config/ProxyConfigTest.java
+++ b/src/test/java/gaugegw/proxy/config/ProxyConfigTest.java
@@ -73,12 +73,12 @@
 
     /** The error's parts are for code; the message, which tests above fix, is for the operators. */
     @Test
-    void givesFieldFoundAndWantedSeparately() throws Exception {
+    void givesFieldFoundAndExpectedSeparately() throws Exception {
         assertThatThrownBy(() -> ProxyConfig.parse(ProxyFixture.config().put("listen", "8080")))
                 .isInstanceOfSatisfying(InvalidConfigException.class, e -> {
                     assertThat(e.field()).isEqualTo("listen");
                     assertThat(e.found()).isEqualTo("8080");
-                    assertThat(e.wanted()).isEqualTo("address and port");
+                    assertThat(e.expected()).isEqualTo("address and port");
                 });
     }
 
