--- a/src/main/java/gaugegw/balancer/AdmissionController.java
+++ b/src/main/java/gaugegw/balancer/AdmissionController.java
@@ -47,10 +47,7 @@
         }
     }
 
-    /**
-     * Admits, of the requests of the highest priority, those whose affinity endpoint is selected: elsewhere they would
-     * cost their full work, under overload the very capacity that is missing.
-     */
+    /** Requests whose affinity endpoint is selected go first: elsewhere their work takes more of the capacity. */
     private void admitToAffinityEndpoints(long nowUs, Consumer<Action> actions) {
         int i = 0;
         while (i < queue.size()
@@ -88,9 +85,7 @@
         var attempt = new AttemptRecord(endpoint, nowUs, timeoutUs(request, nowUs));
         request.attemptStarted(attempt);
         limiter.attemptStarted(attempt);
-        endpoint.virtualTime += 1;
-        endpoint.health.attemptStarted(request.flow, nowUs);
-        endpoint.slowStartAllowance.use();
+        endpoint.attemptStarted(request.flow, nowUs);
         actions.accept(new Action.StartAttempt(request.id, endpoint.id, attempt.timeoutUs));
     }
 
--- a/src/main/java/gaugegw/balancer/EndpointRecord.java
+++ b/src/main/java/gaugegw/balancer/EndpointRecord.java
@@ -4,7 +4,7 @@
 
 /**
  * What this proxy knows of one process behind an endpoint id; a restart under the same id gets a new record. The
- * membership sets what the list says, {@link EndpointWeights} the weight; attempts advance the virtual time.
+ * membership sets what the list says, {@link EndpointWeights} the weight.
  */
 final class EndpointRecord {
     final String id;
@@ -29,4 +29,10 @@
         this.health = health;
         this.slowStartAllowance = slowStartAllowance;
     }
+
+    void attemptStarted(int flow, long nowUs) {
+        virtualTime += 1;
+        health.attemptStarted(flow, nowUs);
+        slowStartAllowance.use();
+    }
 }
--- a/src/main/java/gaugegw/balancer/LoadMeasurement.java
+++ b/src/main/java/gaugegw/balancer/LoadMeasurement.java
@@ -6,11 +6,6 @@
  * during a rolling restart nothing would be sampled.
  */
 final class LoadMeasurement {
-    /** Below so many answers, their mean latency is not relied upon. */
-    private static final int MIN_RELIABLE_ANSWERS = LatencyAverage.MEMORY_SAMPLES / 32;
-    /** Weight of a new sample of the throughput, once there are a few; not quite 0.2, which is another double. */
-    private static final double SAMPLE_WEIGHT = 1 - 0.8;
-
     private final long periodUs;
     private final LatencyAverage latency = new LatencyAverage();
     private double answersPerUs;
@@ -48,11 +43,12 @@
         unloadedLatencyUs = unloadedLatencyUs == 0 ? meanUs : Math.min(unloadedLatencyUs, meanUs);
         // An average, as answers of endpoints that have just left the list tell nothing of those that stay.
         double throughputPerUs = answersPerUs(nowUs) / Math.max(1, endpointCount);
-        endpointThroughputPerUs += (throughputPerUs - endpointThroughputPerUs) * Math.max(1.0 / samples, SAMPLE_WEIGHT);
+        endpointThroughputPerUs += (throughputPerUs - endpointThroughputPerUs)
+                * Math.max(1.0 / samples, 1 - ControlPeriods.KEPT_PER_REFRESH);
     }
 
     boolean hasReliableLatency() {
-        return latency.samples() >= MIN_RELIABLE_ANSWERS;
+        return latency.samples() >= ControlPeriods.MIN_RELIABLE_ANSWERS;
     }
 
     /** Returns the mean latency of successful answers in microseconds, 0 without any. */
--- a/src/main/java/gaugegw/balancer/OutcomeRates.java
+++ b/src/main/java/gaugegw/balancer/OutcomeRates.java
@@ -4,11 +4,6 @@
 
 /** The shares of errors and time-outs in the attempts, and of rejections in the requests: exponential averages. */
 final class OutcomeRates {
-    /** Attempts that the shares of errors and time-outs remember. */
-    private static final double ATTEMPT_MEMORY = 256;
-    /** Ended requests that the share of rejections remembers. */
-    private static final double REQUEST_MEMORY = 16;
-
     private double errorShare;
     private double timeoutShare;
     private double rejectionShare;
@@ -23,16 +18,16 @@
 
     /** Takes the outcome of an attempt that was sent and not cancelled. */
     void recordAttempt(AttemptOutcome outcome) {
-        errorShare += ((isError(outcome) ? 1 : 0) - errorShare) / ATTEMPT_MEMORY;
-        timeoutShare += ((outcome == AttemptOutcome.TIMEOUT ? 1 : 0) - timeoutShare) / ATTEMPT_MEMORY;
+        errorShare += ((isError(outcome) ? 1 : 0) - errorShare) / ControlPeriods.OUTCOME_ATTEMPTS;
+        timeoutShare += ((outcome == AttemptOutcome.TIMEOUT ? 1 : 0) - timeoutShare) / ControlPeriods.OUTCOME_ATTEMPTS;
     }
 
     void recordRejection() {
-        rejectionShare += (1 - rejectionShare) / REQUEST_MEMORY;
+        rejectionShare += (1 - rejectionShare) / ControlPeriods.OUTCOME_REQUESTS;
     }
 
     void recordSuccess() {
-        rejectionShare -= rejectionShare / REQUEST_MEMORY;
+        rejectionShare -= rejectionShare / ControlPeriods.OUTCOME_REQUESTS;
     }
 
     double errorShare() {
--- a/src/main/java/gaugegw/balancer/SlowStartAllowance.java
+++ b/src/main/java/gaugegw/balancer/SlowStartAllowance.java
@@ -16,10 +16,7 @@
     private double usedOrExpired;
     private long grantedAtUs;
 
-    /**
-     * Starts with a part of the first attempt granted. These parts lie evenly from 0 to 1 over the proxies, so that the
-     * sum of all proxies is near its mean at any time, however small each one's budget.
-     */
+    /** Grants a part of the first attempt, evenly spread over the proxies, so that the sum of all is near its mean. */
     SlowStartAllowance(Endpoint endpoint, int proxyIndex, long nowUs) {
         int hash = HashMixer.mix(endpoint.id().hashCode() ^ Long.hashCode(endpoint.startedAtUs()));
         double phase = hash / (double) (1L << Integer.SIZE) + proxyIndex * GOLDEN_FRACTION;
@@ -31,9 +28,7 @@
      * Grants what is due and returns how many whole attempts may start now. Of a large budget, what is not used expires
      * after a third of the window, so that no window holds more than the budget; of a small one after a window, or
      * proxies with little traffic would seldom use any. Then a window holds up to one and a half times the budget.
-     *
-     * @param budgetPerUs this proxy's part of the budget, in attempts per microsecond
-     * @param windowUs the window over which overload is counted, in microseconds
+     * This proxy's budget is in attempts per microsecond, the window is that of {@link SlowStartBudget}.
      */
     double available(double budgetPerUs, long windowUs, long nowUs) {
         granted += (1 - BURST_SHARE) * budgetPerUs * (nowUs - grantedAtUs);
--- a/src/main/java/gaugegw/balancer/SlowStartBudget.java
+++ b/src/main/java/gaugegw/balancer/SlowStartBudget.java
@@ -43,9 +43,8 @@
         double requestUs = kind.samples() > 0
                 ? kind.meanUs()
                 : settings.requestClasses().get(0).latencyObjectiveUs();
-        double byThroughputPerUs = load.endpointThroughputPerUs()
-                * endpoint.weight
-                * membership.ready().size();
+        int endpointCount = membership.ready().size();
+        double byThroughputPerUs = load.endpointThroughputPerUs() * endpoint.weight * endpointCount;
         return Math.max(1 / (requestUs * settings.proxyCount()), byThroughputPerUs);
     }
 }
--- a/src/main/java/gaugegw/balancer/TenantQuotas.java
+++ b/src/main/java/gaugegw/balancer/TenantQuotas.java
@@ -7,12 +7,14 @@
 
 /** This proxy's part of the tenants' quotas; requests without a known tenant have no quota to exceed. */
 final class TenantQuotas {
+    private final long refreshUs;
     private final Map<String, Quota> byTenant = new HashMap<>();
 
     TenantQuotas(BalancerSettings settings, ControlPeriods periods) {
+        refreshUs = periods.refreshUs();
         for (Tenant tenant : settings.tenants()) {
             double requestsPerUs = tenant.quotaPerSecond() / 1e6 / settings.proxyCount();
-            byTenant.put(tenant.name(), new Quota(byTenant.size(), requestsPerUs, requestsPerUs * periods.refreshUs()));
+            byTenant.put(tenant.name(), new Quota(byTenant.size(), requestsPerUs));
         }
     }
 
@@ -29,25 +31,23 @@
     /** Counts a request and returns whether it is over quota. A retry uses nothing, as the first attempt has. */
     boolean isOverQuota(String tenant, boolean retry, long nowUs) {
         Quota quota = byTenant.get(tenant);
-        return quota != null && !quota.admits(retry, nowUs);
+        return quota != null && !quota.admits(retry, nowUs, refreshUs);
     }
 
     /** A token bucket that holds up to one refresh period's requests. */
     private static final class Quota {
         private final int number;
         private final double requestsPerUs;
-        private final double maxTokens;
         private double tokens;
         private long refilledAtUs;
 
-        Quota(int number, double requestsPerUs, double maxTokens) {
+        Quota(int number, double requestsPerUs) {
             this.number = number;
             this.requestsPerUs = requestsPerUs;
-            this.maxTokens = maxTokens;
         }
 
-        boolean admits(boolean retry, long nowUs) {
-            tokens = Math.min(maxTokens, tokens + requestsPerUs * (nowUs - refilledAtUs));
+        boolean admits(boolean retry, long nowUs, long refreshUs) {
+            tokens = Math.min(requestsPerUs * refreshUs, tokens + requestsPerUs * (nowUs - refilledAtUs));
             refilledAtUs = nowUs;
             if (tokens < 1) {
                 return false;
--- a/src/main/java/gaugegw/balancer/package-info.java
+++ b/src/main/java/gaugegw/balancer/package-info.java
@@ -14,8 +14,8 @@
  *   <li>Discovery: {@code DiscoveryPolling} and {@code DiscoveryBackoff} decide when to poll the endpoint list.
  * </ul>
  *
- * <p>The records of endpoints, requests and attempts and the averages of what was seen hold no decisions; the files of
- * all other classes are named under {@code policy} in the deploy file.
+ * <p>The files under {@code policy} in the deploy file hold every decision and setting. The other classes only keep state
+ * (records, registry, numbering of flows) or measure (averages of latencies, answers and outcomes).
  *
  * <p>Threading: an instance serves one proxy and is confined to one thread. It has no clock and does no I/O. Time comes
  * in with each event, in microseconds, and random numbers come from the seed in the settings, so that equal settings and
