--- a/src/main/java/gaugegw/simulator/ActionEncoder.java
+++ b/src/main/java/gaugegw/simulator/ActionEncoder.java
@@ -11,7 +11,7 @@
 
     private final StringBuilder reply = new StringBuilder(INITIAL_CAPACITY_CHARS);
 
-    /** Appends the line of an action; this is the one place where actions are told apart. */
+    /** Appends the line of an action; the one place that dispatches on the type of an action. */
     void action(int instance, Action action) {
         if (action instanceof Action.StartAttempt start) {
             startAttempt(instance, start);
