--- /dev/null
+++ b/src/test/java/gaugegw/proxy/discovery/DiscoveryAddressChangeTest.java
@@ -0,0 +1,66 @@
+package gaugegw.proxy.discovery;
+
+import static gaugegw.proxy.discovery.DiscoveryTestSupport.watching;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import gaugegw.proxy.testing.ProxyFixture;
+import gaugegw.proxy.testing.RawConnection;
+import gaugegw.proxy.testing.ScriptedServer;
+import org.junit.jupiter.api.Test;
+
+/** Reloads of the configuration, as far as they concern the address of discovery. */
+class DiscoveryAddressChangeTest {
+    /**
+     * A reload moves discovery to another address. The watch moves at once and fetches the complete list from there; the
+     * cached endpoints serve until it has arrived.
+     */
+    @Test
+    void movesToTheDiscoveryAddressOfAReload() throws Exception {
+        try (var backend = new ScriptedServer();
+                var newDiscovery = new ScriptedServer();
+                var proxy = new ProxyFixture(
+                        (event, actions) -> {
+                            watching().handle(event, actions);
+                            ProxyFixture.sendTo("s0").handle(event, actions);
+                        },
+                        backend);
+                var client = proxy.client()) {
+            backend.always(ScriptedServer.ok("x"));
+            RawConnection oldCall = proxy.discovery.accept();
+            oldCall.read();
+            proxy.reload(ProxyFixture.config(newDiscovery.address()));
+            assertThat(oldCall.ended()).isTrue();
+            RawConnection call = newDiscovery.accept();
+            assertThat(call.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
+            assertThat(client.send(ProxyFixture.get("r1")).read().status()).isEqualTo(200);
+            call.send(ScriptedServer.ok(ProxyFixture.list(3, true, ProxyFixture.entry("s7", "127.0.0.1:1", "ready"))));
+            assertThat(newDiscovery.accept().read().first()).contains("?from=3&");
+            assertThat(client.send(ProxyFixture.get("r2")).read().status()).isEqualTo(502);
+        }
+    }
+
+    /**
+     * Two reloads name no valid configuration: the watch goes on as it was. Of two valid ones in a row the last counts, and
+     * one that names the same address again changes nothing.
+     */
+    @Test
+    void anInvalidReloadLeavesTheWatchAlone() throws Exception {
+        try (var newDiscovery = new ScriptedServer();
+                var proxy = new ProxyFixture(watching())) {
+            RawConnection call = proxy.discovery.accept();
+            call.read();
+            proxy.reload("{\"discovery\":");
+            proxy.reload(ProxyFixture.config("nowhere"));
+            call.send(ScriptedServer.ok(ProxyFixture.list(42, false)));
+            RawConnection nextCall = proxy.discovery.accept();
+            assertThat(nextCall.read().first()).contains("?from=42&");
+            proxy.reload(ProxyFixture.config("127.0.0.1:1"));
+            proxy.reload(ProxyFixture.config(newDiscovery.address()));
+            RawConnection newCall = newDiscovery.accept();
+            newCall.read();
+            proxy.reload(ProxyFixture.config(newDiscovery.address()));
+            newCall.send(ScriptedServer.ok(ProxyFixture.list(7, true)));
+            assertThat(newDiscovery.accept().read().first()).contains("?from=7&");
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/gaugegw/proxy/discovery/LocalAgentTest.java
@@ -0,0 +1,113 @@
+package gaugegw.proxy.discovery;
+
+import static gaugegw.proxy.discovery.DiscoveryTestSupport.discoveryAt;
+import static gaugegw.proxy.discovery.DiscoveryTestSupport.watchingWithTimer;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import gaugegw.balancer.api.Event;
+import gaugegw.balancer.api.Event.EndpointUpdate;
+import gaugegw.balancer.api.UpdateKind;
+import gaugegw.proxy.testing.ProxyFixture;
+import gaugegw.proxy.testing.RawConnection;
+import gaugegw.proxy.testing.ScriptedServer;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** The watch where discovery is an agent on the proxy's own machine. */
+class LocalAgentTest {
+    /**
+     * A local agent leaves five calls unanswered. What it has must be in force 1 s after it can be reached: two calls that
+     * fail, with the delay after each, take no longer, but for the first call of the process with 0.15 s more.
+     */
+    @Test
+    void aLocalAgentIsRetriedInTimeThoughCallsFail() throws Exception {
+        try (var proxy =
+                new ProxyFixture(watchingWithTimer(UpdateKind.CACHED, 3_400), c -> c.replace("on_request", "pushed"))) {
+            for (int i = 0; i < 5; i++) {
+                proxy.discovery.accept().read();
+            }
+            RawConnection call = proxy.discovery.accept();
+            call.read();
+            call.send(ScriptedServer.ok(ProxyFixture.list(42, false)));
+            assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
+            Event nextEvent = ScriptedServer.next(proxy.events);
+            assertThat(nextEvent).isEqualTo(new EndpointUpdate(UpdateKind.DELTA, List.of()));
+        }
+    }
+
+    /**
+     * A local agent leaves the first call unanswered. It is called again without a hold, and the hold of its watch is short
+     * even in a fleet of 100 proxies, as its calls cost no other machine anything.
+     */
+    @Test
+    void aSilentLocalAgentIsRetriedAndItsHoldStaysShort() throws Exception {
+        try (var proxy = new ProxyFixture(
+                watchingWithTimer(UpdateKind.CACHED, 2_500),
+                c -> c.replace("on_request", "pushed").replace("\"balancers\":2", "\"balancers\":100"))) {
+            proxy.discovery.accept().read();
+            RawConnection retry = proxy.discovery.accept();
+            assertThat(retry.read().first()).contains("from=41&hold_ms=0");
+            retry.send(ScriptedServer.ok(ProxyFixture.list(42, false)));
+            assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
+            Event nextEvent = ScriptedServer.next(proxy.events);
+            assertThat(nextEvent).isEqualTo(new EndpointUpdate(UpdateKind.DELTA, List.of()));
+            assertThat(proxy.discovery.accept().read().first())
+                    .matches("GET /v1/endpoints\\?from=42&hold_ms=1[1-5]\\d{2} HTTP/1.1");
+        }
+    }
+
+    /**
+     * A proxy restarts while its local agent has an update that is already in force. No client may connect before the
+     * response of the agent is applied: its requests would be forwarded by the cached list.
+     */
+    @Test
+    void acceptsNoClientBeforeTheFirstResponseOfALocalAgent() throws Exception {
+        int port;
+        try (var free = new ScriptedServer()) {
+            port = free.port();
+        }
+        try (var discovery = new ScriptedServer();
+                var backend = new ScriptedServer()) {
+            ScriptedServer.background(() -> {
+                RawConnection call = discovery.accept();
+                call.read();
+                boolean accepted = false;
+                for (int i = 0; i < 50 && !accepted; i++) {
+                    accepted = accepts(port);
+                }
+                call.send(ScriptedServer.ok(
+                        ProxyFixture.list(42, false, ProxyFixture.entry("s0", backend.address(), "draining"))));
+            });
+            try (var proxy = new ProxyFixture(
+                    (event, actions) -> {},
+                    c -> discoveryAt(discovery, c)
+                            .replace("on_request", "pushed")
+                            .replace("127.0.0.1:0", "127.0.0.1:" + port),
+                    backend)) {
+                assertThat(proxy.events)
+                        .extracting(e -> ((EndpointUpdate) e).kind())
+                        .containsExactly(UpdateKind.CACHED, UpdateKind.DELTA);
+            }
+        }
+    }
+
+    private static boolean accepts(int port) {
+        try {
+            RawConnection.to(new InetSocketAddress(port)).close();
+            return true;
+        } catch (IOException e) {
+            pause();
+            return false;
+        }
+    }
+
+    private static void pause() {
+        try {
+            Thread.sleep(1);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+}
