--- a/src/test/java/gaugegw/proxy/discovery/DiscoveryCallFailureTest.java
+++ b/src/test/java/gaugegw/proxy/discovery/DiscoveryCallFailureTest.java
@@ -14,10 +14,14 @@
 import gaugegw.proxy.testing.ScriptedServer;
 import gaugegw.proxy.transport.Transport;
 import io.netty.bootstrap.Bootstrap;
+import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
 import io.netty.channel.ChannelFactory;
+import io.netty.channel.EventLoop;
 import io.netty.channel.socket.nio.NioSocketChannel;
+import java.net.InetSocketAddress;
+import java.net.SocketAddress;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
@@ -138,12 +142,8 @@
             }
             return new NioSocketChannel();
         };
-        var transport = new Transport(
-                sockets.loop(),
-                sockets.server(),
-                new Bootstrap().group(sockets.loop()).channelFactory(limitedFactory),
-                sockets.addresses(),
-                sockets.silent());
+        var transport = new TransportWithClient(
+                sockets, new Bootstrap().group(sockets.loop()).channelFactory(limitedFactory));
         try (var discovery = new ScriptedServer()) {
             ProxyConfig config = ProxyConfig.parse(ProxyFixture.json(ProxyFixture.config(discovery.address())));
             var server =
@@ -156,4 +156,27 @@
             }
         }
     }
+
+    /** A transport whose connecting channels are others. */
+    private record TransportWithClient(Transport other, Bootstrap client) implements Transport {
+        @Override
+        public EventLoop loop() {
+            return other.loop();
+        }
+
+        @Override
+        public ServerBootstrap server() {
+            return other.server();
+        }
+
+        @Override
+        public SocketAddress address(InetSocketAddress address) {
+            return other.address(address);
+        }
+
+        @Override
+        public boolean isSilent(Channel channel) {
+            return other.isSilent(channel);
+        }
+    }
 }
