--- a/src/main/java/gaugegw/proxy/dispatch/ActionExecutor.java
+++ b/src/main/java/gaugegw/proxy/dispatch/ActionExecutor.java
@@ -44,7 +44,7 @@
     /**
      * Executes one action. One that concerns a request or an attempt which is no longer there does nothing.
      *
-     * @throws UnsupportedOperationException for a health check: the proxy sends none
+     * @throws UnsupportedOperationException for a health check: the settings of a proxy on sockets allow none
      */
     void execute(Action action) {
         if (action instanceof Action.StartAttempt start) {
@@ -65,10 +65,10 @@
             endpointWatcher.fetch();
         } else if (action instanceof Action.LogMessage message) {
             log.line(message.text());
+        } else if (action instanceof Action.CheckHealth) {
+            throw new UnsupportedOperationException("the proxy sends no health checks");
         } else {
-            // CheckHealth: the settings of a real proxy do not allow health checks, and the load balancer sends none
-            // then.
-            throw new UnsupportedOperationException("the proxy has no such action");
+            throw new IllegalArgumentException("unknown action");
         }
     }
 
--- a/src/main/java/gaugegw/proxy/dispatch/ClientRequest.java
+++ b/src/main/java/gaugegw/proxy/dispatch/ClientRequest.java
@@ -12,7 +12,7 @@
  * @param retry whether the client has marked it as a retry of its own
  * @param deadlineUs on the proxy's clock, in microseconds: the last moment at which a response can leave the proxy and
  *     still reach the client before it gives up
- * @param upstreamRequest what goes to a backend
+ * @param upstreamRequest what is forwarded to a backend; its body stays the property of the client's side, which releases it
  */
 public record ClientRequest(
         String id,
