--- a/src/main/java/gaugegw/proxy/config/ProxyConfigReader.java
+++ b/src/main/java/gaugegw/proxy/config/ProxyConfigReader.java
@@ -4,9 +4,8 @@
 import com.fasterxml.jackson.databind.node.MissingNode;
 import gaugegw.balancer.api.BalancerSettings;
 import gaugegw.settings.SettingsReader;
+import gaugegw.settings.SettingsTree;
 import java.net.InetSocketAddress;
-import java.util.HashMap;
-import java.util.Map;
 import java.util.Optional;
 
 /** Reads a {@link ProxyConfig} from JSON, and maps the names of its fields to those of the code. */
@@ -23,7 +22,7 @@
     }
 
     ProxyConfig read() throws InvalidConfigException {
-        Map<String, String> settings = settingsByPath();
+        SettingsTree settings = settingsTree();
         try {
             return new ProxyConfig(
                     text("name"),
@@ -32,8 +31,8 @@
                     descriptorLimit(),
                     cachedEndpoints(),
                     settings(settings),
-                    SettingsReader.whole(settings, "bounds.conn_idle_us"),
-                    SettingsReader.whole(settings, "bounds.connect_timeout_us"));
+                    SettingsReader.connectionIdleTimeoutUs(settings),
+                    SettingsReader.connectTimeoutUs(settings));
         } catch (IllegalArgumentException e) {
             throw InvalidConfigException.settings(e);
         }
@@ -70,7 +69,7 @@
         return known.isObject() ? known : MissingNode.getInstance();
     }
 
-    private BalancerSettings settings(Map<String, String> settings) throws InvalidConfigException {
+    private BalancerSettings settings(SettingsTree settings) throws InvalidConfigException {
         return SettingsReader.read(settings, seed());
     }
 
@@ -83,22 +82,22 @@
         }
     }
 
-    /** Returns the nested settings by their paths, as the simulator's wire has them and the settings' reader wants. */
-    private Map<String, String> settingsByPath() throws InvalidConfigException {
+    /** Returns the nested settings by their paths. */
+    private SettingsTree settingsTree() throws InvalidConfigException {
         JsonNode settings = json.path("settings");
         if (!settings.isObject()) {
             throw InvalidConfigException.notAllowed("settings", settings.asText(), "an object");
         }
-        var values = new HashMap<String, String>();
+        var values = SettingsTree.builder();
         flatten("", settings, values);
-        return values;
+        return values.build();
     }
 
-    private static void flatten(String path, JsonNode node, Map<String, String> values) {
+    private static void flatten(String path, JsonNode node, SettingsTree.Builder values) {
         if (node.isObject()) {
             node.properties().forEach(e -> flatten(child(path, e.getKey()), e.getValue(), values));
         } else if (node.isArray()) {
-            values.put(child(path, "count"), Integer.toString(node.size()));
+            values.putCount(path, node.size());
             for (int i = 0; i < node.size(); i++) {
                 flatten(child(path, Integer.toString(i)), node.get(i), values);
             }
--- a/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
@@ -67,7 +67,7 @@
                 dispatcher,
                 limiter,
                 settings,
-                () -> endpointWatcher.firstCallEnded().isDone() && upstreams.anyReady());
+                () -> endpointWatcher.firstCallEnded().isDone() && upstreams.hasReadyEndpoint());
         shutdown = new GracefulShutdown(loop, log, config, frontend, dispatcher);
     }
 
@@ -95,7 +95,7 @@
     /** Loads the cached endpoints and listens. Returns the bind, which may have failed. */
     ChannelFuture listen() {
         loop.execute(() -> endpointWatcher.loadCachedEndpoints(config.cachedEndpoints()));
-        if (endpointWatcher.pushed()) {
+        if (endpointWatcher.hasLocalAgent()) {
             // A pushed update binds a proxy from its first request on, so no client may be accepted before its arrival.
             endpointWatcher.firstCallEnded().awaitUninterruptibly();
         }
@@ -145,7 +145,7 @@
 
     /** Returns the number of connected clients. */
     public int connectedClients() {
-        return frontend.connected();
+        return frontend.connectedClients();
     }
 
     /** Ends the event loop, and with it all connections; returns when it has ended. */
