--- a/src/main/java/gaugegw/balancer/FailureBackoff.java
+++ b/src/main/java/gaugegw/balancer/FailureBackoff.java
@@ -5,6 +5,7 @@
  * that arrive during a backoff are ignored, as one fault may end many attempts at once.
  */
 final class FailureBackoff {
+    /** Whether attempts may begin, and what is remembered of failures. */
     enum State {
         /** No recent failure. */
         CLOSED,
--- a/src/main/java/gaugegw/balancer/api/BalancerSettings.java
+++ b/src/main/java/gaugegw/balancer/api/BalancerSettings.java
@@ -29,6 +29,11 @@
         Limits limits,
         SafetyLimits safetyLimits,
         long seed) {
+    /**
+     * Checks the components.
+     *
+     * @throws IllegalArgumentException if one makes no sense; the message names the setting
+     */
     public BalancerSettings {
         require(proxyCount >= 1, "balancers");
         require(proxyIndex >= 0, "rank");
--- a/src/main/java/gaugegw/balancer/api/Endpoint.java
+++ b/src/main/java/gaugegw/balancer/api/Endpoint.java
@@ -13,6 +13,11 @@
  */
 public record Endpoint(
         String id, EndpointState state, String kind, String zone, int cell, long startedAtUs, double weight) {
+    /**
+     * Checks the components.
+     *
+     * @throws IllegalArgumentException if one makes no sense; the message names the setting
+     */
     public Endpoint {
         BalancerSettings.require(id != null && !id.isEmpty(), "backend id");
         BalancerSettings.require(state != null, "state of backend " + id);
--- a/src/main/java/gaugegw/balancer/api/Limits.java
+++ b/src/main/java/gaugegw/balancer/api/Limits.java
@@ -20,6 +20,11 @@
         int maxAttempts,
         long maxRetryAfterUs,
         long connectTimeoutUs) {
+    /**
+     * Checks the components.
+     *
+     * @throws IllegalArgumentException if one makes no sense; the message names the setting
+     */
     public Limits {
         BalancerSettings.require(maxAttempts >= 1, "max attempts");
         BalancerSettings.require(maxRetryAfterUs >= 0, "max retry-after");
--- a/src/main/java/gaugegw/balancer/api/RequestClass.java
+++ b/src/main/java/gaugegw/balancer/api/RequestClass.java
@@ -22,6 +22,11 @@
         Idempotency idempotency,
         DeduplicationScope deduplicationScope,
         long deduplicationWindowUs) {
+    /**
+     * Checks the components.
+     *
+     * @throws IllegalArgumentException if one makes no sense; the message names the setting
+     */
     public RequestClass {
         BalancerSettings.require(name != null && !name.isEmpty(), "class name");
         BalancerSettings.require(latencyObjectiveUs > 0, "aim of class " + name);
--- a/src/main/java/gaugegw/balancer/api/SafetyLimits.java
+++ b/src/main/java/gaugegw/balancer/api/SafetyLimits.java
@@ -18,6 +18,11 @@
         long overloadWindowUs,
         long pollIntervalUs,
         boolean rejectedMayHaveExecuted) {
+    /**
+     * Checks the components.
+     *
+     * @throws IllegalArgumentException if one makes no sense; the message names the setting
+     */
     public SafetyLimits {
         BalancerSettings.require(initialCapacity > 0 && initialCapacity <= 1, "cold from");
         BalancerSettings.require(slowStartUs >= 0, "cold time");
