--- a/src/test/java/gaugegw/balancer/ConcurrencyLimiterTest.java
+++ b/src/test/java/gaugegw/balancer/ConcurrencyLimiterTest.java
@@ -73,6 +73,8 @@
         assertThat(rejected).isLessThan(100);
     }
 
+    private record Started(String requestId, long atUs) {}
+
     /**
      * Two of three proxies are gone, and the last one has a limit that was meant for a third of the traffic. An
      * answer takes long even without a queue, so the limit is full while the endpoints are idle. The limit must
@@ -86,7 +88,6 @@
         var lastProxy = new LoadBalancerDriver(
                 readOnlySettings().proxy(0, 3).requestClasses(READ, PAY).build());
         lastProxy.snapshot(endpoint("a"), endpoint("b"), endpoint("c"));
-        record Started(String requestId, long atUs) {}
         var inFlight = new ArrayDeque<Started>();
         int actionsSeen = 0;
         int startedInLastSecond = 0;
