--- a/src/test/java/gaugegw/simulator/DecisionDigestTest.java
+++ b/src/test/java/gaugegw/simulator/DecisionDigestTest.java
@@ -3,6 +3,8 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import gaugegw.simulator.workload.GeneratedWorkload;
+import gaugegw.simulator.workload.WorkloadScenario;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -38,19 +40,19 @@
 
     private record Played(String digest, int events, long playedUs, Map<String, Integer> actions) {}
 
-    static List<GeneratedWorkload.Scenario> scenarios() {
-        var scenarios = new ArrayList<GeneratedWorkload.Scenario>();
+    static List<WorkloadScenario> scenarios() {
+        var scenarios = new ArrayList<WorkloadScenario>();
         for (int balancers : new int[] {1, 3, 30, 400}) {
             for (boolean pushed : new boolean[] {true, false}) {
                 for (int variant = 1; variant <= 3; variant++) {
-                    scenarios.add(new GeneratedWorkload.Scenario(balancers, pushed, variant));
+                    scenarios.add(new WorkloadScenario(balancers, pushed, variant));
                 }
             }
         }
         return scenarios;
     }
 
-    private static Played play(GeneratedWorkload.Scenario scenario) throws IOException {
+    private static Played play(WorkloadScenario scenario) throws IOException {
         var workload = new GeneratedWorkload(scenario);
         var errors = new ByteArrayOutputStream();
         int exit;
@@ -65,10 +67,11 @@
         }
         assertThat(errors.toString(UTF_8)).isEmpty();
         assertThat(exit).isZero();
-        return new Played(sha256(workload.replies()), workload.eventCount(), workload.playedUs(), workload.actions());
+        return new Played(
+                sha256(workload.replies()), workload.eventCount(), workload.elapsedUs(), workload.actionCounts());
     }
 
-    private static Played played(GeneratedWorkload.Scenario scenario) {
+    private static Played played(WorkloadScenario scenario) {
         return PLAYED.computeIfAbsent(scenario.name(), name -> {
             try {
                 return play(scenario);
@@ -102,7 +105,7 @@
 
     @ParameterizedTest
     @MethodSource("scenarios")
-    void decidesAsRecorded(GeneratedWorkload.Scenario scenario) throws IOException {
+    void decidesAsRecorded(WorkloadScenario scenario) throws IOException {
         Played played = played(scenario);
         assertThat(scenario.name() + " = " + played.digest())
                 .as(
@@ -114,7 +117,7 @@
 
     @ParameterizedTest
     @MethodSource("scenarios")
-    void playsLongEnoughAndSends(GeneratedWorkload.Scenario scenario) {
+    void playsLongEnoughAndSends(WorkloadScenario scenario) {
         Played played = played(scenario);
         assertThat(played.playedUs()).isGreaterThanOrEqualTo(LEAST_PLAYED_US);
         assertThat(played.events()).isGreaterThanOrEqualTo(LEAST_EVENTS);
@@ -131,8 +134,7 @@
     @Test
     void recordsEachScenarioAndNoOther() throws IOException {
         assertThat(recorded().keySet())
-                .containsExactlyElementsOf(scenarios().stream()
-                        .map(GeneratedWorkload.Scenario::name)
-                        .toList());
+                .containsExactlyElementsOf(
+                        scenarios().stream().map(WorkloadScenario::name).toList());
     }
 }
