--- a/src/test/java/gaugegw/simulator/DecisionDigestTest.java
+++ b/src/test/java/gaugegw/simulator/DecisionDigestTest.java
@@ -42,10 +42,10 @@
 
     static List<WorkloadScenario> scenarios() {
         var scenarios = new ArrayList<WorkloadScenario>();
-        for (int balancers : new int[] {1, 3, 30, 400}) {
+        for (int proxyCount : new int[] {1, 3, 30, 400}) {
             for (boolean pushed : new boolean[] {true, false}) {
                 for (int variant = 1; variant <= 3; variant++) {
-                    scenarios.add(new WorkloadScenario(balancers, pushed, variant));
+                    scenarios.add(new WorkloadScenario(proxyCount, pushed, variant));
                 }
             }
         }
--- a/src/test/java/gaugegw/simulator/workload/ActionHandler.java
+++ b/src/test/java/gaugegw/simulator/workload/ActionHandler.java
@@ -28,7 +28,7 @@
 
     /** Carries out an action; fails the test if the surroundings of a proxy could not. */
     void handle(ProxyAction action) {
-        SimulatedProxy proxy = proxies.get(SimulatedProxy.indexOf(action.index("who")));
+        SimulatedProxy proxy = proxies.get(SimulatedProxy.ordinalOf(action.index("who")));
         if (precedesStop(action, proxy)) {
             return;
         }
--- a/src/test/java/gaugegw/simulator/workload/BackendRegistry.java
+++ b/src/test/java/gaugegw/simulator/workload/BackendRegistry.java
@@ -49,6 +49,7 @@
         update(backend, BackendState.SERVING, startedAtUs);
     }
 
+    /** Changes the entry of a backend, under a new revision. */
     void update(SimulatedBackend backend, BackendState state, long startedAtUs) {
         revision++;
         backend.update(state, startedAtUs, revision);
@@ -70,15 +71,17 @@
                 .count();
     }
 
+    /** Returns the entries of all backends that are not gone. */
     EndpointList snapshot() {
         return list(backend -> backend.state() != BackendState.GONE);
     }
 
-    EndpointList changesSince(int earlierRevision) {
+    /** Returns the entries that have changed after a revision, also of backends that are gone. */
+    EndpointList deltaSince(int earlierRevision) {
         return list(backend -> backend.revision() > earlierRevision);
     }
 
-    /** Returns a complete list of no backends, under a revision of its own. */
+    /** Returns a snapshot without any backend, under a revision of its own. */
     EndpointList emptySnapshot() {
         revision++;
         return new EndpointList(revision, List.of());
--- a/src/test/java/gaugegw/simulator/workload/DiscoverySimulation.java
+++ b/src/test/java/gaugegw/simulator/workload/DiscoverySimulation.java
@@ -9,7 +9,7 @@
 final class DiscoverySimulation {
     private static final String SNAPSHOT = "whole";
     private static final String DELTA = "patch";
-    private static final String CACHED_COPY = "stale_copy";
+    private static final String CACHED = "stale_copy";
     private static final String FAILURE = "broken";
 
     private final SimulationContext context;
@@ -24,16 +24,16 @@
         this.cachedCopy = registry.snapshot();
     }
 
-    /** Makes the present list the cached copy of proxies that start later. */
+    /** Makes the current snapshot the cached copy of proxies that start later. */
     void refreshCachedCopy() {
         cachedCopy = registry.snapshot();
     }
 
-    /** Sends a proxy that has just started its cached copy, and the present list if the registry pushes. */
+    /** Sends a proxy that has just started its cached copy, and the current snapshot if the registry pushes. */
     void proxyStarted(SimulatedProxy proxy) {
-        send(proxy, CACHED_COPY, cachedCopy);
+        send(proxy, CACHED, cachedCopy);
         if (context.scenario().pushed()) {
-            scheduleBetween(50_000, 300_000, () -> sendSnapshot(proxy));
+            scheduleBetween(50_000, 300_000, () -> pushSnapshot(proxy));
         }
     }
 
@@ -43,26 +43,26 @@
             boolean complete = context.random().chance(0.15);
             scheduleBetween(20_000, 400_000, () -> {
                 if (complete) {
-                    sendSnapshot(proxy);
+                    pushSnapshot(proxy);
                 } else {
-                    sendChanges(proxy);
+                    sendDelta(proxy);
                 }
             });
         }
     }
 
-    /** Sends each proxy a list without any backend, and after a short time the present one. */
+    /** Sends each proxy a list without any backend, and after a short time the current snapshot. */
     void announceEmptyList() {
         for (SimulatedProxy proxy : proxies) {
             if (receivesUpdates(proxy)) {
                 send(proxy, SNAPSHOT, registry.emptySnapshot());
                 proxy.setRevision(0);
-                context.schedule().scheduleAfter(350_000, () -> sendSnapshot(proxy));
+                context.schedule().scheduleAfter(350_000, () -> pushSnapshot(proxy));
             }
         }
     }
 
-    /** Answers a poll: with the present list or a failure. */
+    /** Answers a poll: with the current snapshot or a failure. */
     void poll(SimulatedProxy proxy) {
         int incarnation = proxy.incarnation();
         scheduleBetween(2_000, 300_000, () -> answerPoll(proxy, incarnation));
@@ -86,7 +86,7 @@
             sendFailure(proxy);
             return;
         }
-        sendPresentList(proxy);
+        sendCurrentSnapshot(proxy);
     }
 
     private void answerWatch(SimulatedProxy proxy, int incarnation) {
@@ -100,9 +100,9 @@
         proxy.setWatching(true);
         if (context.random().chance(0.5)) {
             proxy.setRevision(Math.max(0, proxy.revision() - 1));
-            sendChanges(proxy);
+            sendDelta(proxy);
         } else {
-            sendPresentList(proxy);
+            sendCurrentSnapshot(proxy);
         }
         scheduleBetween(3_000_000, 15_000_000, () -> failWatch(proxy, incarnation));
     }
@@ -129,25 +129,25 @@
         return proxy.isRunning() && (context.scenario().pushed() || proxy.isWatching());
     }
 
-    private void sendSnapshot(SimulatedProxy proxy) {
+    private void pushSnapshot(SimulatedProxy proxy) {
         if (receivesUpdates(proxy)) {
-            sendPresentList(proxy);
+            sendCurrentSnapshot(proxy);
         }
     }
 
-    private void sendPresentList(SimulatedProxy proxy) {
+    private void sendCurrentSnapshot(SimulatedProxy proxy) {
         proxy.setRevision(registry.revision());
         send(proxy, SNAPSHOT, registry.snapshot());
     }
 
-    private void sendChanges(SimulatedProxy proxy) {
+    private void sendDelta(SimulatedProxy proxy) {
         if (!receivesUpdates(proxy)) {
             return;
         }
-        EndpointList changes = registry.changesSince(proxy.revision());
+        EndpointList delta = registry.deltaSince(proxy.revision());
         proxy.setRevision(registry.revision());
-        if (!changes.isEmpty()) {
-            send(proxy, DELTA, changes);
+        if (!delta.isEmpty()) {
+            send(proxy, DELTA, delta);
         }
     }
 
--- a/src/test/java/gaugegw/simulator/workload/EndpointList.java
+++ b/src/test/java/gaugegw/simulator/workload/EndpointList.java
@@ -13,7 +13,7 @@
         return entries.isEmpty();
     }
 
-    /** Returns the event that sends this list to a proxy, without the last line end. */
+    /** Returns the event that sends this list to a proxy, without the last line end; {@code form} is as on the wire. */
     String updateEvent(int proxyId, String form) {
         String text = "update who=" + proxyId + " form=" + form + " revision=" + revision + " nodes_list="
                 + entries.size() + "\n" + String.join("", entries);
--- a/src/test/java/gaugegw/simulator/workload/GeneratedWorkload.java
+++ b/src/test/java/gaugegw/simulator/workload/GeneratedWorkload.java
@@ -11,7 +11,7 @@
 
 /**
  * A closed-loop workload in wire text: simulated clients, backends and discovery that write batches of events and react
- * to the replies. It knows the wire alone and no type of the decision module. All randomness comes from one seeded
+ * to the replies. It knows the wire alone and no type of the load balancer. All randomness comes from one seeded
  * generator and nothing iterates over an unordered collection, so equal replies lead to equal events.
  *
  * <p>The host reads {@link #input()} and writes {@link #output()} on one thread.
@@ -67,8 +67,8 @@
 
     private static List<SimulatedProxy> simulatedProxies(WorkloadScenario scenario) {
         var proxies = new ArrayList<SimulatedProxy>();
-        for (int rank : scenario.proxyRanks()) {
-            proxies.add(new SimulatedProxy(proxies.size(), rank));
+        for (int proxyIndex : scenario.simulatedProxyIndexes()) {
+            proxies.add(new SimulatedProxy(proxies.size(), proxyIndex));
         }
         return List.copyOf(proxies);
     }
--- a/src/test/java/gaugegw/simulator/workload/ProxyLifecycle.java
+++ b/src/test/java/gaugegw/simulator/workload/ProxyLifecycle.java
@@ -10,11 +10,13 @@
         this.discovery = discovery;
     }
 
+    /** Starts the proxy with the settings of the scenario and a seed of its own. */
     void start(SimulatedProxy proxy) {
         proxy.start();
         long seed = context.random().proxySeed();
         context.events()
-                .add("up who=" + proxy.id() + " prng=" + seed + ScenarioSettings.of(context.scenario(), proxy.rank()));
+                .add("up who=" + proxy.id() + " prng=" + seed
+                        + ScenarioSettings.of(context.scenario(), proxy.proxyIndex()));
         discovery.proxyStarted(proxy);
     }
 
--- a/src/test/java/gaugegw/simulator/workload/RegistryChurn.java
+++ b/src/test/java/gaugegw/simulator/workload/RegistryChurn.java
@@ -1,14 +1,25 @@
 package gaugegw.simulator.workload;
 
+import java.util.List;
+
 /** Changes the registry at random: backends start, restart, drain, leave, and get other capacity hints. */
 final class RegistryChurn {
     private static final int MIN_SERVING = 4;
     private static final long QUIET_AT_END_US = 4_000_000;
 
-    private static final int HINT_CHANGE = 5;
-    private static final int CHANGES = 6;
-    /** The first changes of the list do not make the fleet smaller. */
-    private static final int CHANGES_THAT_KEEP_SERVING = 3;
+    /** Kinds of change; the order is part of the workload. */
+    private enum Change {
+        ADD,
+        RESTART,
+        RESTORE,
+        DRAIN,
+        REMOVE,
+        CAPACITY_HINT
+    }
+
+    private static final List<Change> ALL_CHANGES = List.of(Change.values());
+    /** Changes after which no fewer backends serve. */
+    private static final List<Change> GROWING_CHANGES = List.of(Change.ADD, Change.RESTART, Change.RESTORE);
 
     private final SimulationContext context;
     private final BackendRegistry registry;
@@ -27,8 +38,7 @@
         }
         WorkloadRandom random = context.random();
         SimulatedBackend backend = random.pick(registry.backends());
-        int changes = registry.servingCount() < MIN_SERVING ? CHANGES_THAT_KEEP_SERVING : CHANGES;
-        change(backend, backend.isReserved() ? HINT_CHANGE : random.below(changes));
+        apply(randomChange(backend), backend);
         if (random.chance(0.3)) {
             discovery.refreshCachedCopy();
         }
@@ -36,14 +46,21 @@
         context.schedule().scheduleAfter(random.between(300_000, 2_500_000), this::changeRepeatedly);
     }
 
-    private void change(SimulatedBackend backend, int change) {
+    private Change randomChange(SimulatedBackend backend) {
+        if (backend.isReserved()) {
+            return Change.CAPACITY_HINT;
+        }
+        return context.random().pick(registry.servingCount() < MIN_SERVING ? GROWING_CHANGES : ALL_CHANGES);
+    }
+
+    private void apply(Change change, SimulatedBackend backend) {
         switch (change) {
-            case 0 -> registry.add(context.nowUs());
-            case 1 -> registry.update(backend, BackendState.SERVING, context.nowUs() - 200_000);
-            case 2 -> registry.update(backend, BackendState.SERVING, backend.startedAtUs());
-            case 3 -> drain(backend);
-            case 4 -> registry.update(backend, BackendState.GONE, backend.startedAtUs());
-            default -> registry.updateCapacityHint(backend);
+            case ADD -> registry.add(context.nowUs());
+            case RESTART -> registry.update(backend, BackendState.SERVING, context.nowUs() - 200_000);
+            case RESTORE -> registry.update(backend, BackendState.SERVING, backend.startedAtUs());
+            case DRAIN -> drain(backend);
+            case REMOVE -> registry.update(backend, BackendState.GONE, backend.startedAtUs());
+            case CAPACITY_HINT -> registry.updateCapacityHint(backend);
         }
     }
 
--- a/src/test/java/gaugegw/simulator/workload/ScenarioSettings.java
+++ b/src/test/java/gaugegw/simulator/workload/ScenarioSettings.java
@@ -4,15 +4,21 @@
 
 /** Writes the settings that a proxy is started with, under the names that they have on the simulator's wire. */
 final class ScenarioSettings {
+    /** Time after the deadline within which the client must have an answer. */
     static final long ANSWER_SLACK_US = 20_000;
+
     static final long CONNECT_TIMEOUT_US = 150_000;
+
+    /** Time from the start of a backend until it has its full capacity. */
     static final long WARM_UP_US = 9_000_000;
+
     /** Share of its capacity that a backend has just after a start. */
     static final double WARM_UP_INITIAL_CAPACITY = 0.33;
 
     static final int MAX_ATTEMPTS = 4;
     static final List<String> ZONES = List.of("north", "south", "west");
     static final List<String> TENANTS = List.of("school", "press");
+    /** Quota of each tenant in requests per second and simulated proxy. */
     private static final double[] TENANT_RATES_PER_PROXY = {9.0, 6.0};
 
     private final WorkloadScenario scenario;
@@ -22,14 +28,14 @@
         this.scenario = scenario;
     }
 
-    /** Returns the settings of a proxy of the given rank as wire text: each one with a space in front. */
-    static String of(WorkloadScenario scenario, int rank) {
+    /** Returns the settings of a proxy as wire text: each one with a space in front. */
+    static String of(WorkloadScenario scenario, int proxyIndex) {
         var settings = new ScenarioSettings(scenario);
         settings.add("balancers", scenario.proxyCount());
-        settings.add("rank", rank);
+        settings.add("rank", proxyIndex);
         settings.addCapabilities();
         settings.addInvariants();
-        settings.add("locality", ZONES.get(rank % ZONES.size()));
+        settings.add("locality", ZONES.get(proxyIndex % ZONES.size()));
         settings.add("over_share_worth", 0.2);
         settings.addRequestClasses();
         if (scenario.hasTenants()) {
@@ -88,8 +94,9 @@
     private void addTenants() {
         add("projects.count", TENANTS.size());
         for (int i = 0; i < TENANTS.size(); i++) {
-            // The tenants send to the simulated proxies alone, but the quota is divided among all proxies.
-            double ratePerSecond = TENANT_RATES_PER_PROXY[i] * scenario.proxyCount() / scenario.proxyRanks().length;
+            // Only the simulated proxies get requests, but each of them enforces its share of the quota of the tier.
+            double ratePerSecond =
+                    TENANT_RATES_PER_PROXY[i] * scenario.proxyCount() / scenario.simulatedProxyIndexes().length;
             add("projects." + i + ".name", TENANTS.get(i));
             add("projects." + i + ".allowance_per_s", ratePerSecond);
         }
--- a/src/test/java/gaugegw/simulator/workload/SimulatedProxy.java
+++ b/src/test/java/gaugegw/simulator/workload/SimulatedProxy.java
@@ -6,21 +6,21 @@
     private static final int ID_STEP = 2;
 
     private final int id;
-    private final int rank;
+    private final int proxyIndex;
     private boolean running;
     private int incarnation;
     private long stoppedAtUs;
     private boolean watching;
     private int revision;
 
-    /** Creates the proxy with the given index among the simulated ones, not yet started. */
-    SimulatedProxy(int index, int rank) {
-        this.id = FIRST_ID + ID_STEP * index;
-        this.rank = rank;
+    /** Creates a proxy, not yet started: {@code ordinal} counts the simulated ones, {@code proxyIndex} all of the tier. */
+    SimulatedProxy(int ordinal, int proxyIndex) {
+        this.id = FIRST_ID + ID_STEP * ordinal;
+        this.proxyIndex = proxyIndex;
     }
 
-    /** Returns the index of the simulated proxy with this id on the wire. */
-    static int indexOf(int id) {
+    /** Returns the ordinal of the simulated proxy with this id on the wire. */
+    static int ordinalOf(int id) {
         return (id - FIRST_ID) / ID_STEP;
     }
 
@@ -28,10 +28,12 @@
         return id;
     }
 
-    int rank() {
-        return rank;
+    /** Returns the index of the proxy in its tier. */
+    int proxyIndex() {
+        return proxyIndex;
     }
 
+    /** Starts a new incarnation, which has no watch and no endpoint list. */
     void start() {
         running = true;
         incarnation++;
@@ -48,6 +50,7 @@
         return running;
     }
 
+    /** Returns whether this incarnation still runs. */
     boolean isRunning(int expectedIncarnation) {
         return running && incarnation == expectedIncarnation;
     }
--- a/src/test/java/gaugegw/simulator/workload/WorkloadScenario.java
+++ b/src/test/java/gaugegw/simulator/workload/WorkloadScenario.java
@@ -62,8 +62,8 @@
         };
     }
 
-    /** Returns the ranks of the simulated proxies. */
-    int[] proxyRanks() {
+    /** Returns the indexes in the tier of the proxies that the workload simulates. */
+    int[] simulatedProxyIndexes() {
         return switch (proxyCount) {
             case 1 -> new int[] {0};
             case 3 -> new int[] {0, 1, 2};
