--- a/src/main/java/gaugegw/balancer/EarliestDeadlineSelector.java
+++ b/src/main/java/gaugegw/balancer/EarliestDeadlineSelector.java
@@ -1,7 +1,7 @@
 package gaugegw.balancer;
 
 /**
- * Selects the endpoint of an attempt: of the eligible ones that of the best {@link Tier}, then of the earliest deadline
+ * Selects the endpoint of an attempt: of the eligible ones that of the best {@link PreferenceTier}, then of the earliest deadline
  * (virtual time + 1) / weight, then the first listed. An endpoint is eligible if a repeat there is harmless, and if it
  * is in this proxy's subset, below its share of the attempts in flight and within its slow-start budget.
  */
@@ -22,28 +22,12 @@
     private static final double PANIC_THRESHOLD = 0.75;
     /** An endpoint slower than this multiple of its kind's mean latency does not do a subset member's part. */
     private static final double SLOW_MULTIPLE = 4;
-    /** Puts an endpoint that the request has tried behind the others of its tier. */
-    private static final double ALREADY_TRIED_PENALTY = 1e6;
-
-    /** The order of preference. The penalties multiply the deadline, and lie so far apart that the order holds. */
-    private enum Tier {
-        HEALTHY(1),
-        /** Gone silent, or probed by another attempt; once tried, on a par with a failing endpoint not tried. */
-        SUSPECT(1e18),
-        /** In backoff. */
-        FAILING(1e24);
-
-        private final double penalty;
-
-        Tier(double penalty) {
-            this.penalty = penalty;
-        }
-    }
 
     /** Returns the endpoint for the next attempt of a request, or null if there is none now. */
     EndpointRecord select(PendingRequest request, long nowUs) {
         EndpointRecord best = null;
-        Tier bestTier = Tier.HEALTHY;
+        EndpointHealth.Condition bestCondition = EndpointHealth.Condition.FAILING;
+        PreferenceTier bestTier = PreferenceTier.FAILING_ALREADY_TRIED;
         double earliest = Double.POSITIVE_INFINITY;
         int permitted = 0;
         int unhealthy = 0;
@@ -53,39 +37,44 @@
             if (!duplicateGuard.permitsAttempt(request, endpoint, nowUs)) {
                 continue;
             }
-            Tier tier = tier(endpoint, request.flow, nowUs);
-            permitted += 1;
-            unhealthy += tier == Tier.HEALTHY ? 0 : 1;
-            failing += tier == Tier.FAILING ? 1 : 0;
+            EndpointHealth.Condition condition =
+                    endpoint.health.condition(request.flow, endpoint.latency.kind.meanUs(), nowUs);
+            boolean healthy = condition == EndpointHealth.Condition.HEALTHY;
+            permitted++;
+            unhealthy += healthy ? 0 : 1;
+            failing += condition == EndpointHealth.Condition.FAILING ? 1 : 0;
             boolean warmingUp = slowStart.isWarmingUp(endpoint, nowUs);
             // An endpoint that warms up is in too few subsets to get what all proxies together may send it.
-            boolean inSubset = tier != Tier.HEALTHY || subsetRemaining > 0 || warmingUp;
-            double deadline = deadline(endpoint, request, tier);
+            boolean inSubset = !healthy || subsetRemaining > 0 || warmingUp;
+            PreferenceTier tier = PreferenceTier.of(condition, request.hasTried(endpoint));
+            double deadline = deadline(endpoint, request);
             if (inSubset
-                    && deadline < earliest
+                    && precedes(tier, deadline, bestTier, earliest)
                     && isBelowFairShare(endpoint)
                     && slowStart.mayStartAttempt(endpoint, nowUs)) {
                 best = endpoint;
+                bestCondition = condition;
                 bestTier = tier;
                 earliest = deadline;
             }
-            subsetRemaining -= fillsSubset(endpoint, tier, warmingUp) ? 1 : 0;
+            subsetRemaining -= healthy && fillsSubset(endpoint, warmingUp) ? 1 : 0;
         }
-        return isAcceptable(bestTier, permitted, unhealthy, failing) ? best : null;
+        return isAcceptable(bestCondition, permitted, unhealthy, failing) ? best : null;
     }
 
-    private static Tier tier(EndpointRecord endpoint, int flow, long nowUs) {
-        if (endpoint.health.isHealthy(flow, endpoint.latency.kind.meanUs(), nowUs)) {
-            return Tier.HEALTHY;
+    private static boolean precedes(
+            PreferenceTier tier, double deadline, PreferenceTier otherTier, double otherDeadline) {
+        if (tier == otherTier) {
+            return deadline < otherDeadline;
         }
-        return endpoint.health.isBackingOff(flow, nowUs) ? Tier.FAILING : Tier.SUSPECT;
+        // Without a positive weight, or with one that is not a number, an endpoint has no deadline.
+        return tier.isPreferredTo(otherTier) && Double.isFinite(deadline);
     }
 
-    private static double deadline(EndpointRecord endpoint, PendingRequest request, Tier tier) {
+    private static double deadline(EndpointRecord endpoint, PendingRequest request) {
         double zonePreference = endpoint.inProxyZone ? SAME_ZONE_PREFERENCE : 1;
         double cachePreference = endpoint == request.affinityEndpoint ? CACHED_KEY_PREFERENCE : 1;
-        double deadline = (endpoint.virtualTime + 1) / (endpoint.weight * zonePreference * cachePreference);
-        return deadline * (request.hasTried(endpoint) ? ALREADY_TRIED_PENALTY : 1) * tier.penalty;
+        return (endpoint.virtualTime + 1) / (endpoint.weight * zonePreference * cachePreference);
     }
 
     /** Returns how many healthy endpoints this proxy uses: its part, or more if it is far busier than others. */
@@ -94,10 +83,10 @@
         return Math.max(evenPart, load.answersPerUs(nowUs) * load.unloadedLatencyUs());
     }
 
-    private boolean fillsSubset(EndpointRecord endpoint, Tier tier, boolean warmingUp) {
+    private boolean fillsSubset(EndpointRecord endpoint, boolean warmingUp) {
         LatencyAverage kind = endpoint.latency.kind;
         boolean slow = kind.samples() > 0 && !(endpoint.latency.expectedUs() < SLOW_MULTIPLE * kind.meanUs());
-        return proxyCount > PROXIES_PER_ENDPOINT && tier == Tier.HEALTHY && !slow && !warmingUp;
+        return proxyCount > PROXIES_PER_ENDPOINT && !slow && !warmingUp;
     }
 
     /** Limits an endpoint to its weight's share of the attempts in flight: virtual time sees starts, but no answers. */
@@ -107,8 +96,8 @@
     }
 
     /** Where some endpoints are silent and the others fail, those that fail get nothing. */
-    private static boolean isAcceptable(Tier tier, int permitted, int unhealthy, int failing) {
-        return switch (tier) {
+    private static boolean isAcceptable(EndpointHealth.Condition condition, int permitted, int unhealthy, int failing) {
+        return switch (condition) {
             case HEALTHY -> true;
             case SUSPECT -> unhealthy > PANIC_THRESHOLD * permitted;
             case FAILING -> failing > PANIC_THRESHOLD * permitted;
--- a/src/main/java/gaugegw/balancer/EndpointHealth.java
+++ b/src/main/java/gaugegw/balancer/EndpointHealth.java
@@ -5,8 +5,19 @@
 
 /** Guards against endpoints that hang, that cannot be reached, or that fail the requests of some flows only. */
 final class EndpointHealth {
-    /** Above this share of all attempts, an isolated error tells nothing of an endpoint. */
+    /** Whether an endpoint may receive the attempts of a flow. */
+    enum Condition {
+        HEALTHY,
+        /** Gone silent, or probed by another attempt. */
+        SUSPECT,
+        /** In backoff after a failure. */
+        FAILING
+    }
+
+    /** Above this share of all attempts, an isolated error says nothing about an endpoint. */
     private static final double COMMON_ERROR_SHARE = 0.015;
+    /** An endpoint is suspect only once it has been silent for this many latency budgets. */
+    private static final int SILENCE_LATENCY_BUDGETS = 2;
 
     private final ControlPeriods periods;
     private final HealthTracker whole = new HealthTracker();
@@ -21,15 +32,19 @@
         return whole.inFlight();
     }
 
-    /** Returns whether a flow's attempt may begin. A silence no longer than the mean latency of the kind is no fault. */
-    boolean isHealthy(int flow, double kindMeanUs, long nowUs) {
-        long maxSilenceUs = (long) Math.max(2 * periods.latencyBudgetUs(), kindMeanUs);
-        return whole.mayReceive(nowUs, maxSilenceUs) && byFlow[flow].mayReceive(nowUs, maxSilenceUs);
-    }
-
-    /** Returns whether the endpoint is in backoff after a failure, for all flows or for this one. */
-    boolean isBackingOff(int flow, long nowUs) {
-        return whole.isBackingOff(nowUs) || byFlow[flow].isBackingOff(nowUs);
+    /**
+     * Returns the condition of the endpoint for a flow: the worse of its condition as a whole and for this flow. An
+     * endpoint that is silent for no longer than the mean latency of its kind is not suspect, it may just be busy.
+     *
+     * @param kindMeanUs the mean latency of the endpoint's kind, in microseconds
+     */
+    Condition condition(int flow, double kindMeanUs, long nowUs) {
+        long maxSilenceUs = (long) Math.max(SILENCE_LATENCY_BUDGETS * periods.latencyBudgetUs(), kindMeanUs);
+        if (whole.mayReceive(nowUs, maxSilenceUs) && byFlow[flow].mayReceive(nowUs, maxSilenceUs)) {
+            return Condition.HEALTHY;
+        }
+        boolean backingOff = whole.isBackingOff(nowUs) || byFlow[flow].isBackingOff(nowUs);
+        return backingOff ? Condition.FAILING : Condition.SUSPECT;
     }
 
     void attemptStarted(int flow, long nowUs) {
