--- a/src/main/java/gaugegw/balancer/package-info.java
+++ b/src/main/java/gaugegw/balancer/package-info.java
@@ -14,9 +14,6 @@
  *   <li>Discovery: {@code DiscoveryPolling} and {@code DiscoveryBackoff} decide when to poll the endpoint list.
  * </ul>
  *
- * <p>The files under {@code policy} in the deploy file hold every decision and setting. The other classes only keep state
- * (records, registry, numbering of flows) or measure (averages of latencies, answers and outcomes).
- *
  * <p>Threading: an instance serves one proxy and is confined to one thread. It has no clock and does no I/O. Time comes
  * in with each event, in microseconds, and random numbers come from the seed in the settings, so that equal settings and
  * events give equal actions. For this reason no decision depends on the iteration order of a hash table.
