--- a/src/main/java/gaugegw/balancer/AttemptOutcomeRecorder.java
+++ b/src/main/java/gaugegw/balancer/AttemptOutcomeRecorder.java
@@ -4,7 +4,15 @@
 import gaugegw.balancer.api.Event.AttemptEnded;
 
 /** Feeds the outcome of an attempt to the health, latency and load statistics. */
-record AttemptOutcomeRecorder(OutcomeRates rates, LoadMeasurement load) {
+final class AttemptOutcomeRecorder {
+    private final OutcomeRates rates;
+    private final LoadMeasurement load;
+
+    AttemptOutcomeRecorder(OutcomeRates rates, LoadMeasurement load) {
+        this.rates = rates;
+        this.load = load;
+    }
+
     void record(PendingRequest request, AttemptRecord attempt, AttemptEnded event, long nowUs) {
         AttemptOutcome outcome = event.outcome();
         boolean causedByEndpoint = outcome != AttemptOutcome.CANCELLED && outcome != AttemptOutcome.NOT_SENT;
--- a/src/main/java/gaugegw/balancer/DuplicateExecutionGuard.java
+++ b/src/main/java/gaugegw/balancer/DuplicateExecutionGuard.java
@@ -11,7 +11,13 @@
  * Guards against a request that takes effect twice. The invariant: once an attempt may have executed, another attempt
  * starts, and a rejection invites the client to retry, only where the request's class makes a repeat harmless.
  */
-record DuplicateExecutionGuard(BalancerSettings settings) {
+final class DuplicateExecutionGuard {
+    private final BalancerSettings settings;
+
+    DuplicateExecutionGuard(BalancerSettings settings) {
+        this.settings = settings;
+    }
+
     /** Returns whether an attempt may start at an endpoint now. */
     boolean permitsAttempt(PendingRequest request, EndpointRecord endpoint, long nowUs) {
         RequestClass requestClass = request.requestClass;
--- a/src/main/java/gaugegw/balancer/EarliestDeadlineSelector.java
+++ b/src/main/java/gaugegw/balancer/EarliestDeadlineSelector.java
@@ -5,13 +5,7 @@
  * (virtual time + 1) / weight, then the first listed. An endpoint is eligible if a repeat there is harmless, and if it
  * is in this proxy's subset, below its share of the attempts in flight and within its slow-start budget.
  */
-record EarliestDeadlineSelector(
-        int proxyCount,
-        EndpointMembership membership,
-        DuplicateExecutionGuard duplicateGuard,
-        SlowStartBudget slowStart,
-        LoadMeasurement load,
-        ConcurrencyLimiter limiter) {
+final class EarliestDeadlineSelector {
     /** An endpoint in the proxy's own zone counts as this many times its weight. */
     private static final double SAME_ZONE_PREFERENCE = 4;
     /** The endpoint that likely has the request's key cached counts as this many times its weight. */
@@ -23,6 +17,33 @@
     /** An endpoint slower than this multiple of its kind's mean latency does not do a subset member's part. */
     private static final double SLOW_MULTIPLE = 4;
 
+    private final int proxyCount;
+    private final EndpointMembership membership;
+    private final DuplicateExecutionGuard duplicateGuard;
+    private final SlowStartBudget slowStart;
+    private final LoadMeasurement load;
+    private final ConcurrencyLimiter limiter;
+
+    /**
+     * Creates a selector that keeps no state of its own.
+     *
+     * @param proxyCount the number of proxies that share the endpoints, this one included
+     */
+    EarliestDeadlineSelector(
+            int proxyCount,
+            EndpointMembership membership,
+            DuplicateExecutionGuard duplicateGuard,
+            SlowStartBudget slowStart,
+            LoadMeasurement load,
+            ConcurrencyLimiter limiter) {
+        this.proxyCount = proxyCount;
+        this.membership = membership;
+        this.duplicateGuard = duplicateGuard;
+        this.slowStart = slowStart;
+        this.load = load;
+        this.limiter = limiter;
+    }
+
     /** Returns the endpoint for the next attempt of a request, or null if there is none now. */
     EndpointRecord select(PendingRequest request, long nowUs) {
         EndpointRecord best = null;
--- a/src/main/java/gaugegw/balancer/SlowStartBudget.java
+++ b/src/main/java/gaugegw/balancer/SlowStartBudget.java
@@ -7,10 +7,20 @@
  * Limits the attempts at an endpoint that has just started. The invariant: in any overload window, all proxies together
  * start fewer than the overload multiple times its present capacity, or it would fail before it is warm.
  */
-record SlowStartBudget(BalancerSettings settings, EndpointMembership membership, LoadMeasurement load) {
+final class SlowStartBudget {
     /** Part of the budget that is used, as requests differ in size and the capacity is an estimate. */
     private static final double SAFETY_MARGIN = 0.4;
 
+    private final BalancerSettings settings;
+    private final EndpointMembership membership;
+    private final LoadMeasurement load;
+
+    SlowStartBudget(BalancerSettings settings, EndpointMembership membership, LoadMeasurement load) {
+        this.settings = settings;
+        this.membership = membership;
+        this.load = load;
+    }
+
     boolean isWarmingUp(EndpointRecord endpoint, long nowUs) {
         return warmUpFraction(endpoint, nowUs) < 1;
     }
