--- a/src/main/java/gaugegw/balancer/AdmissionController.java
+++ b/src/main/java/gaugegw/balancer/AdmissionController.java
@@ -51,11 +51,11 @@
     private void admitToAffinityEndpoints(long nowUs, Consumer<Action> actions) {
         int i = 0;
         while (i < queue.size()
-                && queue.get(i).priorityWeight == queue.get(0).priorityWeight
+                && queue.get(i).priorityWeight() == queue.get(0).priorityWeight()
                 && limiter.permits(queue.get(i), nowUs)) {
             PendingRequest request = queue.get(i);
-            if (request.affinityEndpoint != null && selector.select(request, nowUs) == request.affinityEndpoint) {
-                start(request, request.affinityEndpoint, nowUs, actions);
+            if (request.affinityEndpoint() != null && selector.select(request, nowUs) == request.affinityEndpoint()) {
+                start(request, request.affinityEndpoint(), nowUs, actions);
             } else {
                 i++;
             }
@@ -68,13 +68,13 @@
         int i = 0;
         while (i < queue.size() && limiter.permits(queue.get(i), nowUs)) {
             PendingRequest request = queue.get(i);
-            boolean firstAttempt = request.attempts.isEmpty();
-            boolean blocked = firstAttempt && blockedFlows[request.flow];
+            boolean firstAttempt = request.attempts().isEmpty();
+            boolean blocked = firstAttempt && blockedFlows[request.flow()];
             EndpointRecord endpoint = blocked ? null : selector.select(request, nowUs);
             if (endpoint != null) {
                 start(request, endpoint, nowUs, actions);
             } else {
-                blockedFlows[request.flow] |= firstAttempt;
+                blockedFlows[request.flow()] |= firstAttempt;
                 i++;
             }
         }
@@ -83,23 +83,23 @@
     private void start(PendingRequest request, EndpointRecord endpoint, long nowUs, Consumer<Action> actions) {
         queue.remove(request);
         var attempt = new AttemptRecord(endpoint, nowUs, timeoutUs(request, nowUs));
-        request.attemptStarted(attempt);
-        limiter.attemptStarted(attempt);
-        endpoint.attemptStarted(request.flow, nowUs);
-        actions.accept(new Action.StartAttempt(request.id, endpoint.id, attempt.timeoutUs));
+        request.recordAttemptStarted(attempt);
+        limiter.recordAttemptStarted(attempt);
+        endpoint.recordAttemptStarted(request.flow(), nowUs);
+        actions.accept(new Action.StartAttempt(request.id(), endpoint.id(), attempt.timeoutUs()));
     }
 
     private static long timeoutUs(PendingRequest request, long nowUs) {
-        long toObjectiveUs = request.objectiveAtUs - nowUs;
+        long toObjectiveUs = request.objectiveAtUs() - nowUs;
         long byObjectiveUs = toObjectiveUs > 0 ? (long) (TIMEOUT_OBJECTIVES * toObjectiveUs) : Long.MAX_VALUE;
-        return Math.min(request.deadlineAtUs - nowUs, byObjectiveUs);
+        return Math.min(request.deadlineAtUs() - nowUs, byObjectiveUs);
     }
 
     private void giveUp(long nowUs, Consumer<Action> actions) {
         for (int i = queue.size() - 1; i >= 0; i--) {
             PendingRequest request = queue.get(i);
             boolean tooMany = i >= Math.max(limiter.limit(), 1);
-            if (request.giveUpAtUs <= nowUs || membership.ready().isEmpty() || tooMany) {
+            if (request.giveUpAtUs() <= nowUs || membership.ready().isEmpty() || tooMany) {
                 queue.remove(request);
                 rejection.reject(request, nowUs, actions);
             }
--- a/src/main/java/gaugegw/balancer/AdmissionQueue.java
+++ b/src/main/java/gaugegw/balancer/AdmissionQueue.java
@@ -21,10 +21,11 @@
     }
 
     void add(PendingRequest request) {
-        request.giveUpAtUs = Math.min(
-                request.objectiveAtUs - giveUpBeforeObjectiveUs, request.deadlineAtUs - giveUpBeforeDeadlineUs);
-        request.lowerPriorityShare = flows.shareBelow(request.priorityWeight);
-        request.affinityEndpoint = request.affinityKey == null ? null : affinityEndpoint(request.affinityKey);
+        long giveUpAtUs = Math.min(
+                request.objectiveAtUs() - giveUpBeforeObjectiveUs, request.deadlineAtUs() - giveUpBeforeDeadlineUs);
+        EndpointRecord affinityEndpoint =
+                request.affinityKey() == null ? null : affinityEndpoint(request.affinityKey());
+        request.recordQueued(giveUpAtUs, flows.shareBelow(request.priorityWeight()), affinityEndpoint);
         int position = requests.size();
         while (position > 0 && outranks(request, requests.get(position - 1))) {
             position--;
@@ -33,14 +34,15 @@
     }
 
     private static boolean outranks(PendingRequest request, PendingRequest other) {
-        return request.priorityWeight > other.priorityWeight
-                || (request.priorityWeight == other.priorityWeight && request.objectiveAtUs < other.objectiveAtUs);
+        return request.priorityWeight() > other.priorityWeight()
+                || (request.priorityWeight() == other.priorityWeight()
+                        && request.objectiveAtUs() < other.objectiveAtUs());
     }
 
     /** Returns the endpoint that likely has a key cached: all proxies find the same one, by rendezvous hashing. */
     private EndpointRecord affinityEndpoint(String key) {
         return membership.ready().stream()
-                .max(Comparator.comparingInt(e -> HashMixer.mix(key.hashCode() ^ e.id.hashCode())))
+                .max(Comparator.comparingInt(e -> HashMixer.mix(key.hashCode() ^ e.id().hashCode())))
                 .orElse(null);
     }
 
@@ -58,6 +60,6 @@
 
     /** Returns when the first request is given up; {@link Long#MAX_VALUE} if there is none. */
     long nextGiveUpAtUs() {
-        return requests.stream().mapToLong(r -> r.giveUpAtUs).min().orElse(Long.MAX_VALUE);
+        return requests.stream().mapToLong(r -> r.giveUpAtUs()).min().orElse(Long.MAX_VALUE);
     }
 }
--- a/src/main/java/gaugegw/balancer/AttemptOutcomeRecorder.java
+++ b/src/main/java/gaugegw/balancer/AttemptOutcomeRecorder.java
@@ -18,8 +18,8 @@
         boolean causedByEndpoint = outcome != AttemptOutcome.CANCELLED && outcome != AttemptOutcome.NOT_SENT;
         if (causedByEndpoint) {
             rates.recordAttempt(outcome);
-            attempt.endpoint.health.recordOutcome(request.flow, outcome, rates.errorShare(), nowUs);
-            attempt.endpoint.latency.record(effectiveLatencyUs(request, attempt, event));
+            attempt.endpoint().health().recordOutcome(request.flow(), outcome, rates.errorShare(), nowUs);
+            attempt.endpoint().latency().record(effectiveLatencyUs(request, attempt, event));
         }
         if (outcome == AttemptOutcome.SUCCESS) {
             load.recordAnswer(event.latencyUs(), nowUs);
@@ -31,8 +31,8 @@
     private static long effectiveLatencyUs(PendingRequest request, AttemptRecord attempt, AttemptEnded event) {
         return switch (event.outcome()) {
             case SUCCESS -> event.latencyUs();
-            case ERROR -> request.requestClass.latencyObjectiveUs();
-            case REJECTED, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, NOT_SENT -> attempt.timeoutUs;
+            case ERROR -> request.requestClass().latencyObjectiveUs();
+            case REJECTED, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, NOT_SENT -> attempt.timeoutUs();
         };
     }
 }
--- a/src/main/java/gaugegw/balancer/ConcurrencyLimiter.java
+++ b/src/main/java/gaugegw/balancer/ConcurrencyLimiter.java
@@ -61,11 +61,11 @@
         return inFlight.size();
     }
 
-    void attemptStarted(AttemptRecord attempt) {
+    void recordAttemptStarted(AttemptRecord attempt) {
         inFlight.add(attempt);
     }
 
-    void attemptEnded(AttemptRecord attempt) {
+    void recordAttemptEnded(AttemptRecord attempt) {
         inFlight.remove(attempt);
     }
 
@@ -73,7 +73,8 @@
     boolean permits(PendingRequest request, long nowUs) {
         int counted = countedAttempts(nowUs);
         return counted < Math.max(limit, MIN_ATTEMPTS_PER_ENDPOINT)
-                && (counted + 1 <= limit || unusedLimitUs >= -request.lowerPriorityShare * limit * periods.refreshUs());
+                && (counted + 1 <= limit
+                        || unusedLimitUs >= -request.lowerPriorityShare() * limit * periods.refreshUs());
     }
 
     /** Returns what is answered within the latency budget, but not less than keeps the endpoints busy. */
@@ -103,7 +104,7 @@
         double hungUs = Math.max(periods.latencyBudgetUs(), HUNG_LATENCY_MULTIPLE * load.meanLatencyUs());
         int hung = 0;
         for (AttemptRecord attempt : inFlight) {
-            if (nowUs - attempt.startedAtUs < hungUs) {
+            if (nowUs - attempt.startedAtUs() < hungUs) {
                 break;
             }
             hung++;
--- a/src/main/java/gaugegw/balancer/DuplicateExecutionGuard.java
+++ b/src/main/java/gaugegw/balancer/DuplicateExecutionGuard.java
@@ -20,28 +20,28 @@
 
     /** Returns whether an attempt may start at an endpoint now. */
     boolean permitsAttempt(PendingRequest request, EndpointRecord endpoint, long nowUs) {
-        RequestClass requestClass = request.requestClass;
-        return request.attempts.isEmpty()
+        RequestClass requestClass = request.requestClass();
+        return request.attempts().isEmpty()
                 || requestClass.idempotency() == Idempotency.IDEMPOTENT
-                || request.attempts.stream()
+                || request.attempts().stream()
                         .allMatch(earlier ->
                                 !mayHaveExecuted(earlier) || isDeduplicated(requestClass, earlier, endpoint, nowUs));
     }
 
     /** Returns whether a retry by the client is harmless, whichever proxy and endpoint it reaches. */
     boolean isClientRetryHarmless(PendingRequest request) {
-        RequestClass requestClass = request.requestClass;
+        RequestClass requestClass = request.requestClass();
         return requestClass.idempotency() == Idempotency.IDEMPOTENT
                 || (requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
                         && requestClass.deduplicationScope() == DeduplicationScope.ALL)
-                || request.attempts.stream().noneMatch(this::mayHaveExecuted);
+                || request.attempts().stream().noneMatch(this::mayHaveExecuted);
     }
 
     /** A rejection proves that an attempt did not execute, unless endpoints may reject what they had begun. */
     private boolean mayHaveExecuted(AttemptRecord attempt) {
         return attempt.isInFlight()
-                || !attempt.outcome.provesNotExecuted()
-                || (attempt.outcome == AttemptOutcome.REJECTED
+                || !attempt.outcome().provesNotExecuted()
+                || (attempt.outcome() == AttemptOutcome.REJECTED
                         && settings.safetyLimits().rejectedMayHaveExecuted());
     }
 
@@ -50,8 +50,8 @@
             RequestClass requestClass, AttemptRecord earlier, EndpointRecord endpoint, long nowUs) {
         long latestStartUs = nowUs + settings.limits().connectTimeoutUs();
         return requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                && latestStartUs < earlier.startedAtUs + requestClass.deduplicationWindowUs()
-                && sharesScope(requestClass.deduplicationScope(), earlier.startedTo, endpoint.listed);
+                && latestStartUs < earlier.startedAtUs() + requestClass.deduplicationWindowUs()
+                && sharesScope(requestClass.deduplicationScope(), earlier.startedTo(), endpoint.listed());
     }
 
     private static boolean sharesScope(DeduplicationScope scope, Endpoint first, Endpoint second) {
--- a/src/main/java/gaugegw/balancer/EarliestDeadlineLoadBalancer.java
+++ b/src/main/java/gaugegw/balancer/EarliestDeadlineLoadBalancer.java
@@ -69,42 +69,42 @@
     /** The types of event that are not named here need no decision. */
     private void dispatch(long nowUs, Event event, Consumer<Action> actions) {
         if (event instanceof Event.RequestArrived arrival) {
-            requestArrived(nowUs, arrival);
+            handleRequestArrived(nowUs, arrival);
         } else if (event instanceof Event.AttemptEnded end) {
-            attemptEnded(nowUs, end, actions);
+            handleAttemptEnded(nowUs, end, actions);
         } else if (event instanceof Event.TimerFired timer) {
             polling.timerFired(timer.token(), nowUs, actions);
         } else if (event instanceof Event.EndpointUpdate update) {
-            endpointsUpdated(nowUs, update, actions);
+            handleEndpointsUpdated(nowUs, update, actions);
         } else if (event instanceof Event.ClientDisconnected disconnect) {
-            clientDisconnected(disconnect, actions);
+            handleClientDisconnected(disconnect, actions);
         }
     }
 
-    private void requestArrived(long nowUs, Event.RequestArrived arrival) {
+    private void handleRequestArrived(long nowUs, Event.RequestArrived arrival) {
         RequestClass requestClass = flows.requestClass(arrival.requestClass());
         load.sampleIfDue(membership.ready().size(), nowUs);
         weights.refreshIfDue(nowUs);
-        retryPolicy.requestArrived();
+        retryPolicy.recordRequest();
         PendingRequest request = priority.prioritize(arrival, requestClass, nowUs);
         registry.add(request);
         queue.add(request);
     }
 
-    private void attemptEnded(long nowUs, Event.AttemptEnded end, Consumer<Action> actions) {
+    private void handleAttemptEnded(long nowUs, Event.AttemptEnded end, Consumer<Action> actions) {
         PendingRequest request = registry.find(end.requestId());
         if (request == null || !request.isInFlight(end.attempt())) {
             return;
         }
-        AttemptRecord attempt = request.attempts.get(end.attempt());
-        request.attemptEnded(attempt, end.outcome());
-        limiter.attemptEnded(attempt);
-        attempt.endpoint.health.attemptEnded(request.flow, end.outcome(), nowUs);
-        membership.closeIdleUnlessReady(attempt.endpoint, actions);
+        AttemptRecord attempt = request.attempts().get(end.attempt());
+        request.recordAttemptEnded(attempt, end.outcome());
+        limiter.recordAttemptEnded(attempt);
+        attempt.endpoint().health().recordAttemptEnded(request.flow(), end.outcome(), nowUs);
+        membership.closeIdleUnlessReady(attempt.endpoint(), actions);
         outcomes.record(request, attempt, end, nowUs);
-        if (request.answered || end.requestEnded()) {
+        if (request.isAnswered() || end.requestEnded()) {
             registry.close(request, actions);
-        } else if (request.attemptsInFlight > 0) {
+        } else if (request.attemptsInFlight() > 0) {
             return;
         } else if (retryPolicy.tryRetry(request, nowUs)) {
             queue.add(request);
@@ -113,7 +113,7 @@
         }
     }
 
-    private void endpointsUpdated(long nowUs, Event.EndpointUpdate update, Consumer<Action> actions) {
+    private void handleEndpointsUpdated(long nowUs, Event.EndpointUpdate update, Consumer<Action> actions) {
         if (update.kind() == UpdateKind.POLL_FAILED) {
             polling.callFailed(nowUs, actions);
             return;
@@ -125,7 +125,7 @@
         weights.refresh(nowUs);
     }
 
-    private void clientDisconnected(Event.ClientDisconnected disconnect, Consumer<Action> actions) {
+    private void handleClientDisconnected(Event.ClientDisconnected disconnect, Consumer<Action> actions) {
         PendingRequest request = registry.find(disconnect.requestId());
         if (request != null) {
             queue.remove(request);
--- a/src/main/java/gaugegw/balancer/EarliestDeadlineSelector.java
+++ b/src/main/java/gaugegw/balancer/EarliestDeadlineSelector.java
@@ -58,8 +58,7 @@
             if (!duplicateGuard.permitsAttempt(request, endpoint, nowUs)) {
                 continue;
             }
-            EndpointHealth.Condition condition =
-                    endpoint.health.condition(request.flow, endpoint.latency.kind.meanUs(), nowUs);
+            EndpointHealth.Condition condition = endpoint.condition(request.flow(), nowUs);
             boolean healthy = condition == EndpointHealth.Condition.HEALTHY;
             permitted++;
             unhealthy += healthy ? 0 : 1;
@@ -93,9 +92,9 @@
     }
 
     private static double deadline(EndpointRecord endpoint, PendingRequest request) {
-        double zonePreference = endpoint.inProxyZone ? SAME_ZONE_PREFERENCE : 1;
-        double cachePreference = endpoint == request.affinityEndpoint ? CACHED_KEY_PREFERENCE : 1;
-        return (endpoint.virtualTime + 1) / (endpoint.weight * zonePreference * cachePreference);
+        double zonePreference = endpoint.isInProxyZone() ? SAME_ZONE_PREFERENCE : 1;
+        double cachePreference = endpoint == request.affinityEndpoint() ? CACHED_KEY_PREFERENCE : 1;
+        return (endpoint.virtualTime() + 1) / (endpoint.weight() * zonePreference * cachePreference);
     }
 
     /** Returns how many healthy endpoints this proxy uses: its part, or more if it is far busier than others. */
@@ -105,15 +104,15 @@
     }
 
     private boolean fillsSubset(EndpointRecord endpoint, boolean warmingUp) {
-        LatencyAverage kind = endpoint.latency.kind;
-        boolean slow = kind.samples() > 0 && !(endpoint.latency.expectedUs() < SLOW_MULTIPLE * kind.meanUs());
+        LatencyAverage kind = endpoint.latency().kind();
+        boolean slow = kind.samples() > 0 && !(endpoint.latency().expectedUs() < SLOW_MULTIPLE * kind.meanUs());
         return proxyCount > PROXIES_PER_ENDPOINT && !slow && !warmingUp;
     }
 
     /** Limits an endpoint to its weight's share of the attempts in flight: virtual time sees starts, but no answers. */
     private boolean isBelowFairShare(EndpointRecord endpoint) {
-        double fairShare = Math.ceil(endpoint.weight * (limiter.attemptsInFlight() + 1));
-        return endpoint.health.attemptsInFlight() < Math.max(1, fairShare);
+        double fairShare = Math.ceil(endpoint.weight() * (limiter.attemptsInFlight() + 1));
+        return endpoint.health().attemptsInFlight() < Math.max(1, fairShare);
     }
 
     /** Where some endpoints are silent and the others fail, those that fail get nothing. */
--- a/src/main/java/gaugegw/balancer/EndpointHealth.java
+++ b/src/main/java/gaugegw/balancer/EndpointHealth.java
@@ -47,15 +47,15 @@
         return backingOff ? Condition.FAILING : Condition.SUSPECT;
     }
 
-    void attemptStarted(int flow, long nowUs) {
-        whole.attemptStarted(nowUs);
-        byFlow[flow].attemptStarted(nowUs);
+    void recordAttemptStarted(int flow, long nowUs) {
+        whole.recordAttemptStarted(nowUs);
+        byFlow[flow].recordAttemptStarted(nowUs);
     }
 
-    void attemptEnded(int flow, AttemptOutcome outcome, long nowUs) {
+    void recordAttemptEnded(int flow, AttemptOutcome outcome, long nowUs) {
         boolean heard = outcome != AttemptOutcome.TIMEOUT && outcome != AttemptOutcome.CANCELLED;
-        whole.attemptEnded(nowUs, heard);
-        byFlow[flow].attemptEnded(nowUs, heard);
+        whole.recordAttemptEnded(nowUs, heard);
+        byFlow[flow].recordAttemptEnded(nowUs, heard);
     }
 
     /** Takes an outcome: what cannot be reached fails for all flows, any other failure concerns its flow alone. */
--- a/src/main/java/gaugegw/balancer/EndpointLatency.java
+++ b/src/main/java/gaugegw/balancer/EndpointLatency.java
@@ -3,11 +3,20 @@
 /** The expected latency of an endpoint: the average of its kind, corrected by the endpoint's own samples. */
 final class EndpointLatency {
     /** Shared by all endpoints of the kind. */
-    LatencyAverage kind;
+    private LatencyAverage kind;
 
     private double ownSumUs;
     private double ownSamples;
 
+    LatencyAverage kind() {
+        return kind;
+    }
+
+    /** Sets the average of the kind that the endpoint list names; before the first use, and with each list entry. */
+    void setKind(LatencyAverage kind) {
+        this.kind = kind;
+    }
+
     /** Adds a sample, in microseconds, to the endpoint's own and to those of its kind. */
     void record(double latencyUs) {
         kind.record(latencyUs);
--- a/src/main/java/gaugegw/balancer/EndpointMembership.java
+++ b/src/main/java/gaugegw/balancer/EndpointMembership.java
@@ -49,12 +49,12 @@
     void sort() {
         int lists = Math.max(1, settings.proxyCount() / Math.max(1, ready.size()));
         int shuffle = HashMixer.mix(settings.proxyIndex() % lists);
-        ready.sort(Comparator.comparingInt(e -> HashMixer.mix(e.id.hashCode() ^ shuffle)));
+        ready.sort(Comparator.comparingInt(e -> HashMixer.mix(e.id().hashCode() ^ shuffle)));
         int place = settings.proxyIndex() / lists;
         double remaining = place * (double) lists / settings.proxyCount();
         int first = 0;
-        while (first < ready.size() - 1 && remaining > ready.get(first).weight - BOUNDARY_TOLERANCE) {
-            remaining -= ready.get(first).weight;
+        while (first < ready.size() - 1 && remaining > ready.get(first).weight() - BOUNDARY_TOLERANCE) {
+            remaining -= ready.get(first).weight();
             first++;
         }
         Collections.rotate(ready, -first);
@@ -65,7 +65,7 @@
         boolean complete = update.kind() != UpdateKind.DELTA;
         List<EndpointRecord> before = List.copyOf(ready);
         if (complete) {
-            ready.forEach(endpoint -> endpoint.ready = false);
+            ready.forEach(EndpointRecord::markNotReady);
             ready.clear();
         }
         update.endpoints().forEach(entry -> apply(entry, nowUs));
@@ -77,33 +77,32 @@
 
     private void apply(Endpoint entry, long nowUs) {
         EndpointRecord endpoint = byId.get(entry.id());
-        if (endpoint != null && entry.startedAtUs() != endpoint.listed.startedAtUs()) {
-            endpoint.ready = false;
+        if (endpoint != null && entry.startedAtUs() != endpoint.listed().startedAtUs()) {
+            endpoint.markNotReady();
             ready.remove(endpoint);
             endpoint = null;
         }
         if (endpoint == null) {
             var allowance = new SlowStartAllowance(entry, settings.proxyIndex(), nowUs);
             endpoint = new EndpointRecord(entry, new EndpointHealth(flowCount, periods), allowance);
-            byId.put(endpoint.id, endpoint);
+            byId.put(endpoint.id(), endpoint);
         }
-        endpoint.listed = entry;
-        endpoint.inProxyZone = settings.zone().equals(entry.zone());
-        endpoint.latency.kind = kinds.computeIfAbsent(String.valueOf(entry.kind()), name -> new LatencyAverage());
-        endpoint.ready = entry.state() == EndpointState.READY;
+        boolean inProxyZone = settings.zone().equals(entry.zone());
+        LatencyAverage kind = kinds.computeIfAbsent(String.valueOf(entry.kind()), name -> new LatencyAverage());
+        endpoint.update(entry, inProxyZone, kind);
         ready.remove(endpoint);
-        if (endpoint.ready) {
+        if (endpoint.isReady()) {
             ready.add(endpoint);
         }
         if (entry.state() == EndpointState.GONE) {
-            byId.remove(endpoint.id);
+            byId.remove(endpoint.id());
         }
     }
 
     /** Closes the idle connections to an endpoint that drains or is gone: no further attempt will use them. */
     void closeIdleUnlessReady(EndpointRecord endpoint, Consumer<Action> actions) {
-        if (!endpoint.ready) {
-            actions.accept(new Action.CloseIdleConnections(endpoint.id));
+        if (!endpoint.isReady()) {
+            actions.accept(new Action.CloseIdleConnections(endpoint.id()));
         }
     }
 }
--- a/src/main/java/gaugegw/balancer/EndpointWeights.java
+++ b/src/main/java/gaugegw/balancer/EndpointWeights.java
@@ -26,16 +26,18 @@
         dueAtUs = nowUs + periodUs;
         List<EndpointRecord> endpoints = membership.ready();
         double scale = listWeightScale(endpoints);
-        endpoints.forEach(
-                e -> e.weight = e.latency.kind.samples() > 0 ? 1 / e.latency.expectedUs() : e.listed.weight() * scale);
+        endpoints.forEach(e -> e.setWeight(
+                e.latency().kind().samples() > 0
+                        ? 1 / e.latency().expectedUs()
+                        : e.listed().weight() * scale));
         double floor =
-                FLOOR * endpoints.stream().mapToDouble(e -> e.weight).max().orElse(1);
+                FLOOR * endpoints.stream().mapToDouble(e -> e.weight()).max().orElse(1);
         double sum =
-                endpoints.stream().mapToDouble(e -> Math.max(e.weight, floor)).sum();
+                endpoints.stream().mapToDouble(e -> Math.max(e.weight(), floor)).sum();
         for (EndpointRecord endpoint : endpoints) {
-            endpoint.weight = Math.max(endpoint.weight, floor) / sum;
-            endpoint.virtualTime = 0;
-            endpoint.latency.decayOwnSamples();
+            endpoint.setWeight(Math.max(endpoint.weight(), floor) / sum);
+            endpoint.resetVirtualTime();
+            endpoint.latency().decayOwnSamples();
         }
         membership.sort();
     }
@@ -43,8 +45,8 @@
     /** A kind without samples goes by its list weight; returns that weight's unit, by the kinds that have some. */
     private static double listWeightScale(List<EndpointRecord> endpoints) {
         return endpoints.stream()
-                .filter(e -> e.latency.kind.samples() > 0)
-                .mapToDouble(e -> 1 / (e.latency.kind.meanUs() * e.listed.weight()))
+                .filter(e -> e.latency().kind().samples() > 0)
+                .mapToDouble(e -> 1 / (e.latency().kind().meanUs() * e.listed().weight()))
                 .average()
                 .orElse(1);
     }
--- a/src/main/java/gaugegw/balancer/HealthTracker.java
+++ b/src/main/java/gaugegw/balancer/HealthTracker.java
@@ -26,12 +26,12 @@
         };
     }
 
-    void attemptStarted(long nowUs) {
+    void recordAttemptStarted(long nowUs) {
         lastHeardAtUs = inFlight == 0 ? nowUs : lastHeardAtUs;
         inFlight++;
     }
 
-    void attemptEnded(long nowUs, boolean heard) {
+    void recordAttemptEnded(long nowUs, boolean heard) {
         inFlight--;
         lastHeardAtUs = heard ? nowUs : lastHeardAtUs;
     }
--- a/src/main/java/gaugegw/balancer/RejectionPolicy.java
+++ b/src/main/java/gaugegw/balancer/RejectionPolicy.java
@@ -47,8 +47,8 @@
         boolean retryHarmless = duplicateGuard.isClientRetryHarmless(request);
         actions.accept(
                 retryHarmless
-                        ? new Action.Reject(request.id, retryAfterUs(request, nowUs))
-                        : new Action.Fail(request.id));
+                        ? new Action.Reject(request.id(), retryAfterUs(request, nowUs))
+                        : new Action.Fail(request.id()));
         registry.close(request, actions);
     }
 
@@ -57,7 +57,7 @@
         double queueUs = membership.ready().isEmpty()
                 ? periods.refreshUs()
                 : queue.size() / Math.max(load.answersPerUs(nowUs), 1.0 / periods.refreshUs());
-        double jitter = (HashMixer.mix(request.id.hashCode()) >>> 16) / 65_536.0;
+        double jitter = (HashMixer.mix(request.id().hashCode()) >>> 16) / 65_536.0;
         return (long) ((1 - RETRY_AFTER_JITTER * jitter)
                 * Math.min(Math.max(periods.latencyBudgetUs(), queueUs), maxRetryAfterUs));
     }
--- a/src/main/java/gaugegw/balancer/RequestRegistry.java
+++ b/src/main/java/gaugegw/balancer/RequestRegistry.java
@@ -15,7 +15,7 @@
     }
 
     void add(PendingRequest request) {
-        byId.put(request.id, request);
+        byId.put(request.id(), request);
     }
 
     /** Returns a request, or null if it is not known, or no longer. */
@@ -29,19 +29,19 @@
 
     /** Marks a request as answered, cancels its attempts, and forgets it once none is in flight. */
     void close(PendingRequest request, Consumer<Action> actions) {
-        if (cancellation && !request.answered) {
+        if (cancellation && !request.isAnswered()) {
             cancelAttempts(request, actions);
         }
-        request.answered = true;
-        if (request.attemptsInFlight == 0) {
-            byId.remove(request.id);
+        request.markAnswered();
+        if (request.attemptsInFlight() == 0) {
+            byId.remove(request.id());
         }
     }
 
     private static void cancelAttempts(PendingRequest request, Consumer<Action> actions) {
-        for (int attempt = 0; attempt < request.attempts.size(); attempt++) {
+        for (int attempt = 0; attempt < request.attempts().size(); attempt++) {
             if (request.isInFlight(attempt)) {
-                actions.accept(new Action.CancelAttempt(request.id, attempt));
+                actions.accept(new Action.CancelAttempt(request.id(), attempt));
             }
         }
     }
--- a/src/main/java/gaugegw/balancer/RetryPolicy.java
+++ b/src/main/java/gaugegw/balancer/RetryPolicy.java
@@ -16,15 +16,15 @@
         this.duplicateGuard = duplicateGuard;
     }
 
-    void requestArrived() {
+    void recordRequest() {
         tokens = Math.min(MAX_TOKENS, tokens + TOKENS_PER_REQUEST);
     }
 
     /** Returns whether to retry a request whose attempts have all failed, and if so takes a token. */
     boolean tryRetry(PendingRequest request, long nowUs) {
-        boolean retry = nowUs < request.objectiveAtUs
+        boolean retry = nowUs < request.objectiveAtUs()
                 && tokens >= 1
-                && request.attempts.size() < maxAttempts
+                && request.attempts().size() < maxAttempts
                 // Queued without an endpoint that may receive it, it would only take the place of another.
                 && membership.ready().stream().anyMatch(e -> duplicateGuard.permitsAttempt(request, e, nowUs));
         tokens -= retry ? 1 : 0;
--- a/src/main/java/gaugegw/balancer/SlowStartBudget.java
+++ b/src/main/java/gaugegw/balancer/SlowStartBudget.java
@@ -33,13 +33,13 @@
         }
         SafetyLimits limits = settings.safetyLimits();
         double budgetPerUs = SAFETY_MARGIN * limits.overloadMultiple() * warmUpFraction * capacityPerUs(endpoint);
-        return endpoint.slowStartAllowance.available(budgetPerUs, limits.overloadWindowUs(), nowUs) >= 1;
+        return endpoint.slowStartAllowance().available(budgetPerUs, limits.overloadWindowUs(), nowUs) >= 1;
     }
 
     /** Returns the part of its capacity that an endpoint is sure to have, up to 1. */
     private double warmUpFraction(EndpointRecord endpoint, long nowUs) {
         SafetyLimits limits = settings.safetyLimits();
-        long startedAtUs = endpoint.listed.startedAtUs();
+        long startedAtUs = endpoint.listed().startedAtUs();
         if (startedAtUs <= 0 || nowUs - startedAtUs >= limits.slowStartUs()) {
             return 1;
         }
@@ -49,12 +49,12 @@
 
     /** Returns an estimate of the capacity: what endpoints of its weight answer to this proxy, or one at a time. */
     private double capacityPerUs(EndpointRecord endpoint) {
-        LatencyAverage kind = endpoint.latency.kind;
+        LatencyAverage kind = endpoint.latency().kind();
         double requestUs = kind.samples() > 0
                 ? kind.meanUs()
                 : settings.requestClasses().get(0).latencyObjectiveUs();
         int endpointCount = membership.ready().size();
-        double byThroughputPerUs = load.endpointThroughputPerUs() * endpoint.weight * endpointCount;
+        double byThroughputPerUs = load.endpointThroughputPerUs() * endpoint.weight() * endpointCount;
         return Math.max(1 / (requestUs * settings.proxyCount()), byThroughputPerUs);
     }
 }
