--- a/src/main/java/gaugegw/balancer/DuplicateExecutionGuard.java
+++ b/src/main/java/gaugegw/balancer/DuplicateExecutionGuard.java
@@ -11,31 +11,37 @@
  * Guards against a request that takes effect twice. The invariant: once an attempt may have executed, another attempt
  * starts, and a rejection invites the client to retry, only where the request's class makes a repeat harmless.
  */
-record DuplicateExecutionGuard(BalancerSettings settings) {
+final class DuplicateExecutionGuard {
+    private final BalancerSettings settings;
+
+    DuplicateExecutionGuard(BalancerSettings settings) {
+        this.settings = settings;
+    }
+
     /** Returns whether an attempt may start at an endpoint now. */
     boolean permitsAttempt(PendingRequest request, EndpointRecord endpoint, long nowUs) {
-        RequestClass requestClass = request.requestClass;
-        return request.attempts.isEmpty()
+        RequestClass requestClass = request.requestClass();
+        return request.attempts().isEmpty()
                 || requestClass.idempotency() == Idempotency.IDEMPOTENT
-                || request.attempts.stream()
+                || request.attempts().stream()
                         .allMatch(earlier ->
                                 !mayHaveExecuted(earlier) || isDeduplicated(requestClass, earlier, endpoint, nowUs));
     }
 
     /** Returns whether a retry by the client is harmless, whichever proxy and endpoint it reaches. */
     boolean isClientRetryHarmless(PendingRequest request) {
-        RequestClass requestClass = request.requestClass;
+        RequestClass requestClass = request.requestClass();
         return requestClass.idempotency() == Idempotency.IDEMPOTENT
                 || (requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
                         && requestClass.deduplicationScope() == DeduplicationScope.ALL)
-                || request.attempts.stream().noneMatch(this::mayHaveExecuted);
+                || request.attempts().stream().noneMatch(this::mayHaveExecuted);
     }
 
     /** A rejection proves that an attempt did not execute, unless endpoints may reject what they had begun. */
     private boolean mayHaveExecuted(AttemptRecord attempt) {
         return attempt.isInFlight()
-                || !attempt.outcome.provesNotExecuted()
-                || (attempt.outcome == AttemptOutcome.REJECTED
+                || !attempt.outcome().provesNotExecuted()
+                || (attempt.outcome() == AttemptOutcome.REJECTED
                         && settings.safetyLimits().rejectedMayHaveExecuted());
     }
 
@@ -44,8 +50,8 @@
             RequestClass requestClass, AttemptRecord earlier, EndpointRecord endpoint, long nowUs) {
         long latestStartUs = nowUs + settings.limits().connectTimeoutUs();
         return requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                && latestStartUs < earlier.startedAtUs + requestClass.deduplicationWindowUs()
-                && sharesScope(requestClass.deduplicationScope(), earlier.startedTo, endpoint.listed);
+                && latestStartUs < earlier.startedAtUs() + requestClass.deduplicationWindowUs()
+                && sharesScope(requestClass.deduplicationScope(), earlier.startedTo(), endpoint.listed());
     }
 
     private static boolean sharesScope(DeduplicationScope scope, Endpoint first, Endpoint second) {
