--- a/src/test/java/gaugegw/simulator/workload/BackendSimulation.java
+++ b/src/test/java/gaugegw/simulator/workload/BackendSimulation.java
@@ -10,6 +10,22 @@
     private static final int LATENCY_JITTER_US = 4_000;
     private static final long NEVER_US = Long.MAX_VALUE;
 
+    private static final double CONNECT_TIMEOUT_PROBABILITY = 0.5;
+    /** Probability that a backend sheds a request although it has capacity, at load 1. */
+    private static final double SHED_PROBABILITY = 0.002;
+
+    private static final double NOT_PROCESSED_PROBABILITY = 0.01;
+    private static final double APPLICATION_ERROR_PROBABILITY = 0.7;
+    private static final double BROKEN_STREAM_PROBABILITY = 0.05;
+    private static final double DISCONNECT_ON_ANSWER_PROBABILITY = 0.01;
+    private static final double LOAD_REPORT_PROBABILITY = 0.3;
+
+    /** Probability that a backend stays slow for a while after a slow attempt. */
+    private static final double SLOWDOWN_PROBABILITY = 0.02;
+
+    private static final long SLOWDOWN_US = 500_000;
+    private static final long MAX_STREAM_US = 2_000_000;
+
     private static final double ERROR_RATE = 0.004;
     private static final double RAISED_ERROR_RATE = 0.06;
     private static final double FAULTY_ERROR_RATE = 0.8;
@@ -39,7 +55,8 @@
             scheduleEnd(attempt, completion.outcome(), latencyUs);
         }
         if (request.requestClass().latencyObjectiveUs() < latencyUs) {
-            backend.extendSlowdownUntil(context.random().chance(0.02) ? context.nowUs() + 500_000 : 0);
+            backend.extendSlowdownUntil(
+                    context.random().chance(SLOWDOWN_PROBABILITY) ? context.nowUs() + SLOWDOWN_US : 0);
         }
     }
 
@@ -64,7 +81,9 @@
         if (backend.isUnreachable(nowUs)) {
             return new Completion(
                     AttemptOutcome.CONNECT_FAILED,
-                    random.chance(0.5) ? ScenarioSettings.CONNECT_TIMEOUT_US : CONNECT_REFUSED_US);
+                    random.chance(CONNECT_TIMEOUT_PROBABILITY)
+                            ? ScenarioSettings.CONNECT_TIMEOUT_US
+                            : CONNECT_REFUSED_US);
         }
         if (backend.isHung(nowUs)) {
             return new Completion(AttemptOutcome.TIMED_OUT, NEVER_US);
@@ -74,10 +93,12 @@
         }
         if (random.chance(errorRate(backend, request.requestClass()))) {
             return new Completion(
-                    random.chance(0.7) ? AttemptOutcome.APPLICATION_ERROR : AttemptOutcome.CONNECTION_LOST,
+                    random.chance(APPLICATION_ERROR_PROBABILITY)
+                            ? AttemptOutcome.APPLICATION_ERROR
+                            : AttemptOutcome.CONNECTION_LOST,
                     Math.max(MIN_ERROR_US, latencyUs / 2));
         }
-        if (random.chance(0.01)) {
+        if (random.chance(NOT_PROCESSED_PROBABILITY)) {
             return new Completion(AttemptOutcome.NOT_PROCESSED, NOT_PROCESSED_US);
         }
         return new Completion(AttemptOutcome.DELIVERED, latencyUs);
@@ -86,7 +107,7 @@
     private boolean sheds(SimulatedBackend backend) {
         return backend.state() == BackendState.DRAINING
                 || backend.isOverloaded()
-                || context.random().chance(0.002 * context.load());
+                || context.random().chance(SHED_PROBABILITY * context.load());
     }
 
     private double errorRate(SimulatedBackend backend, RequestClass requestClass) {
@@ -105,8 +126,9 @@
 
     private void scheduleStream(SimulatedAttempt attempt, long latencyUs) {
         WorkloadRandom random = context.random();
-        AttemptOutcome outcome = random.chance(0.05) ? AttemptOutcome.CONNECTION_LOST : AttemptOutcome.DELIVERED;
-        long endUs = latencyUs + random.between(0, 2_000_000);
+        AttemptOutcome outcome =
+                random.chance(BROKEN_STREAM_PROBABILITY) ? AttemptOutcome.CONNECTION_LOST : AttemptOutcome.DELIVERED;
+        long endUs = latencyUs + random.between(0, MAX_STREAM_US);
         context.schedule().scheduleAfter(latencyUs / 2, () -> startStream(attempt));
         scheduleEnd(attempt, outcome, endUs);
     }
@@ -143,7 +165,7 @@
         }
         context.events().add(completedEvent(attempt, outcome));
         // A client may disconnect just as it gets its answer.
-        if (answered && context.random().chance(0.01)) {
+        if (answered && context.random().chance(DISCONNECT_ON_ANSWER_PROBABILITY)) {
             context.events().add("hangup who=" + request.proxy().id() + " op_id=" + request.id());
         }
     }
@@ -151,8 +173,9 @@
     private String completedEvent(SimulatedAttempt attempt, AttemptOutcome outcome) {
         SimulatedRequest request = attempt.request();
         SimulatedBackend backend = attempt.backend();
-        String loadReport =
-                context.random().chance(0.3) ? " health_info=q:" + backend.attemptsInFlight() + ",lat_ms:14.5" : "";
+        String loadReport = context.random().chance(LOAD_REPORT_PROBABILITY)
+                ? " health_info=q:" + backend.attemptsInFlight() + ",lat_ms:14.5"
+                : "";
         return "completed who=" + request.proxy().id() + " op_id=" + request.id()
                 + (request.isFinished() ? " last=1" : " last=0") + " cost_time_us="
                 + attempt.durationUs(context.nowUs()) + " how=" + outcome.wireName() + " backend=" + backend.id()
--- a/src/test/java/gaugegw/simulator/workload/DiscoverySimulation.java
+++ b/src/test/java/gaugegw/simulator/workload/DiscoverySimulation.java
@@ -3,24 +3,27 @@
 import java.util.List;
 
 /**
- * Sends endpoint lists to the proxies: pushed by the registry, or in answer to polls and watches, some of which fail.
- * Each list that a proxy is sent after a start has a cached copy before it, which may be out of date.
+ * Simulates discovery: announces the changes of the registry, and answers polls and watches, some of which fail. A
+ * proxy that starts has a cached copy of some earlier endpoint list.
  */
 final class DiscoverySimulation {
-    private static final String SNAPSHOT = "whole";
-    private static final String DELTA = "patch";
-    private static final String CACHED = "stale_copy";
-    private static final String FAILURE = "broken";
+    private static final double SNAPSHOT_INSTEAD_OF_DELTA_PROBABILITY = 0.15;
+    private static final double CALL_FAILURE_PROBABILITY = 0.35;
+    private static final double WATCH_STARTS_WITH_DELTA_PROBABILITY = 0.5;
+    private static final double SECOND_FAILURE_PROBABILITY = 0.4;
+    private static final long EMPTY_LIST_US = 350_000;
 
     private final SimulationContext context;
     private final BackendRegistry registry;
     private final List<SimulatedProxy> proxies;
+    private final EndpointListSender sender;
     private EndpointList cachedCopy;
 
     DiscoverySimulation(SimulationContext context, BackendRegistry registry, List<SimulatedProxy> proxies) {
         this.context = context;
         this.registry = registry;
         this.proxies = proxies;
+        this.sender = new EndpointListSender(context, registry);
         this.cachedCopy = registry.snapshot();
     }
 
@@ -31,78 +34,72 @@
 
     /** Sends a proxy that has just started its cached copy, and the current snapshot if the registry pushes. */
     void proxyStarted(SimulatedProxy proxy) {
-        send(proxy, CACHED, cachedCopy);
+        sender.sendCached(proxy, cachedCopy);
         if (context.scenario().pushed()) {
-            scheduleBetween(50_000, 300_000, () -> pushSnapshot(proxy));
+            scheduleBetween(50_000, 300_000, () -> sender.pushSnapshot(proxy));
         }
     }
 
     /** Notifies each proxy of the changes of the registry, at a time of its own. */
     void announceChanges() {
         for (SimulatedProxy proxy : proxies) {
-            boolean complete = context.random().chance(0.15);
+            boolean complete = context.random().chance(SNAPSHOT_INSTEAD_OF_DELTA_PROBABILITY);
             scheduleBetween(20_000, 400_000, () -> {
                 if (complete) {
-                    pushSnapshot(proxy);
+                    sender.pushSnapshot(proxy);
                 } else {
-                    sendDelta(proxy);
+                    sender.pushDelta(proxy);
                 }
             });
         }
     }
 
-    /** Sends each proxy a list without any backend, and after a short time the current snapshot. */
+    /** Sends each proxy a snapshot without any backend, and after a short time the current one. */
     void announceEmptyList() {
         for (SimulatedProxy proxy : proxies) {
-            if (receivesUpdates(proxy)) {
-                send(proxy, SNAPSHOT, registry.emptySnapshot());
-                proxy.setRevision(0);
-                context.schedule().scheduleAfter(350_000, () -> pushSnapshot(proxy));
+            if (sender.pushEmptySnapshot(proxy)) {
+                context.schedule().scheduleAfter(EMPTY_LIST_US, () -> sender.pushSnapshot(proxy));
             }
         }
     }
 
-    /** Answers a poll: with the current snapshot or a failure. */
+    /** Answers a poll with the current snapshot or a failure. */
     void poll(SimulatedProxy proxy) {
-        int incarnation = proxy.incarnation();
-        scheduleBetween(2_000, 300_000, () -> answerPoll(proxy, incarnation));
+        answerCall(proxy, () -> sender.sendSnapshot(proxy));
     }
 
-    /** Starts a watch, unless that fails. */
+    /** Starts a watch, unless the call fails. */
     void startWatch(SimulatedProxy proxy) {
         int incarnation = proxy.incarnation();
-        scheduleBetween(2_000, 300_000, () -> answerWatch(proxy, incarnation));
+        answerCall(proxy, () -> beginWatch(proxy, incarnation));
     }
 
     void stopWatch(SimulatedProxy proxy) {
         proxy.setWatching(false);
     }
 
-    private void answerPoll(SimulatedProxy proxy, int incarnation) {
-        if (!proxy.isRunning(incarnation)) {
-            return;
-        }
-        if (context.random().chance(0.35)) {
-            sendFailure(proxy);
-            return;
-        }
-        sendCurrentSnapshot(proxy);
+    private void answerCall(SimulatedProxy proxy, Runnable answer) {
+        int incarnation = proxy.incarnation();
+        scheduleBetween(2_000, 300_000, () -> {
+            if (!proxy.isRunning(incarnation)) {
+                return;
+            }
+            if (context.random().chance(CALL_FAILURE_PROBABILITY)) {
+                sender.sendFailure(proxy);
+            } else {
+                answer.run();
+            }
+        });
     }
 
-    private void answerWatch(SimulatedProxy proxy, int incarnation) {
-        if (!proxy.isRunning(incarnation)) {
-            return;
-        }
-        if (context.random().chance(0.35)) {
-            sendFailure(proxy);
-            return;
-        }
+    private void beginWatch(SimulatedProxy proxy, int incarnation) {
         proxy.setWatching(true);
-        if (context.random().chance(0.5)) {
+        if (context.random().chance(WATCH_STARTS_WITH_DELTA_PROBABILITY)) {
+            // The last change comes again: a proxy must accept a delta that it has already.
             proxy.setRevision(Math.max(0, proxy.revision() - 1));
-            sendDelta(proxy);
+            sender.pushDelta(proxy);
         } else {
-            sendCurrentSnapshot(proxy);
+            sender.sendSnapshot(proxy);
         }
         scheduleBetween(3_000_000, 15_000_000, () -> failWatch(proxy, incarnation));
     }
@@ -112,51 +109,17 @@
             return;
         }
         proxy.setWatching(false);
-        sendFailure(proxy);
+        sender.sendFailure(proxy);
         // A failure does not say which call has failed, so a second one may follow at once.
-        if (context.random().chance(0.4)) {
+        if (context.random().chance(SECOND_FAILURE_PROBABILITY)) {
             scheduleBetween(5_000, 90_000, () -> repeatFailure(proxy, incarnation));
         }
     }
 
     private void repeatFailure(SimulatedProxy proxy, int incarnation) {
         if (proxy.isRunning(incarnation) && !proxy.isWatching()) {
-            sendFailure(proxy);
-        }
-    }
-
-    private boolean receivesUpdates(SimulatedProxy proxy) {
-        return proxy.isRunning() && (context.scenario().pushed() || proxy.isWatching());
-    }
-
-    private void pushSnapshot(SimulatedProxy proxy) {
-        if (receivesUpdates(proxy)) {
-            sendCurrentSnapshot(proxy);
-        }
-    }
-
-    private void sendCurrentSnapshot(SimulatedProxy proxy) {
-        proxy.setRevision(registry.revision());
-        send(proxy, SNAPSHOT, registry.snapshot());
-    }
-
-    private void sendDelta(SimulatedProxy proxy) {
-        if (!receivesUpdates(proxy)) {
-            return;
+            sender.sendFailure(proxy);
         }
-        EndpointList delta = registry.deltaSince(proxy.revision());
-        proxy.setRevision(registry.revision());
-        if (!delta.isEmpty()) {
-            send(proxy, DELTA, delta);
-        }
-    }
-
-    private void send(SimulatedProxy proxy, String form, EndpointList endpoints) {
-        context.events().add(endpoints.updateEvent(proxy.id(), form));
-    }
-
-    private void sendFailure(SimulatedProxy proxy) {
-        context.events().add("update who=" + proxy.id() + " form=" + FAILURE + " revision=" + registry.revision());
     }
 
     private void scheduleBetween(long minUs, long maxUs, Runnable action) {
--- a/src/test/java/gaugegw/simulator/workload/RegistryChurn.java
+++ b/src/test/java/gaugegw/simulator/workload/RegistryChurn.java
@@ -5,6 +5,10 @@
 /** Changes the registry at random: backends start, restart, drain, leave, and get other capacity hints. */
 final class RegistryChurn {
     private static final int MIN_SERVING = 4;
+    private static final double CACHE_REFRESH_PROBABILITY = 0.3;
+    /** Probability that a drained backend serves again rather than leaves. */
+    private static final double RETURN_PROBABILITY = 0.5;
+
     private static final long QUIET_AT_END_US = 4_000_000;
 
     /** Kinds of change; the order is part of the workload. */
@@ -39,7 +43,7 @@
         WorkloadRandom random = context.random();
         SimulatedBackend backend = random.pick(registry.backends());
         apply(randomChange(backend), backend);
-        if (random.chance(0.3)) {
+        if (random.chance(CACHE_REFRESH_PROBABILITY)) {
             discovery.refreshCachedCopy();
         }
         discovery.announceChanges();
@@ -71,7 +75,7 @@
     }
 
     private void endDrain(SimulatedBackend backend) {
-        BackendState state = context.random().chance(0.5) ? BackendState.SERVING : BackendState.GONE;
+        BackendState state = context.random().chance(RETURN_PROBABILITY) ? BackendState.SERVING : BackendState.GONE;
         registry.update(backend, state, context.nowUs());
         discovery.announceChanges();
     }
