--- a/src/main/java/gaugegw/proxy/client/ClientConnection.java
+++ b/src/main/java/gaugegw/proxy/client/ClientConnection.java
@@ -200,7 +200,7 @@
     }
 
     /** Responds to the current exchange with an error and ends the connection: no request behind it is dispatched. */
-    void rejectAndClose(FullHttpResponse error) {
+    void respondWithErrorAndClose(FullHttpResponse error) {
         exchange = null;
         pipelined.overflowWaiting();
         if (pipelined.hasOverflow()) {
--- a/src/main/java/gaugegw/proxy/client/ClientExchange.java
+++ b/src/main/java/gaugegw/proxy/client/ClientExchange.java
@@ -57,11 +57,11 @@
                 return;
             }
             parsed = context.requestParser().parse(request, uri, firstByteAtUs);
-        } catch (RequestRejectedException e) {
-            rejectAndClose(PlainTextResponse.of(e.status(), e.getMessage()));
+        } catch (InvalidRequestException e) {
+            respondWithErrorAndClose(PlainTextResponse.of(e.status(), e.getMessage()));
             return;
         } catch (IllegalArgumentException e) {
-            rejectAndClose(PlainTextResponse.badRequest("malformed request target"));
+            respondWithErrorAndClose(PlainTextResponse.badRequest("malformed request target"));
             return;
         }
         requestId = parsed.id();
@@ -75,9 +75,9 @@
     }
 
     /** On a connection that is kept, a faulty client would send invalid requests as fast as they are responded to. */
-    private void rejectAndClose(FullHttpResponse response) {
+    private void respondWithErrorAndClose(FullHttpResponse response) {
         request.release();
-        connection.rejectAndClose(response);
+        connection.respondWithErrorAndClose(response);
     }
 
     @Override
--- a/src/main/java/gaugegw/proxy/client/ClientRequestParser.java
+++ b/src/main/java/gaugegw/proxy/client/ClientRequestParser.java
@@ -51,11 +51,11 @@
      * @param request the complete request, whose body the parsed request refers to without retaining it
      * @param uri its decoded target
      * @param firstByteAtUs when its first byte was received, on the proxy's clock
-     * @throws RequestRejectedException if the request can't be forwarded
+     * @throws InvalidRequestException if the request can't be forwarded
      * @throws IllegalArgumentException if the target is malformed
      */
     ClientRequest parse(FullHttpRequest request, QueryStringDecoder uri, long firstByteAtUs)
-            throws RequestRejectedException {
+            throws InvalidRequestException {
         requireApiPath(uri);
         HttpHeaders headers = request.headers();
         String requestClass = requireHeader(headers, ProtocolHeaders.REQUEST_CLASS);
@@ -63,7 +63,7 @@
         String tenant = tenant(headers);
         String requestId = requireHeader(headers, ProtocolHeaders.REQUEST_ID);
         if (isInFlight.test(requestId)) {
-            throw new RequestRejectedException(
+            throw new InvalidRequestException(
                     HttpResponseStatus.CONFLICT, "a request with this id is already in flight");
         }
         List<String> keys = uri.parameters().get(KEY_PARAMETER);
@@ -78,22 +78,22 @@
                 new UpstreamRequest(request.method(), request.uri(), headers, request.content()));
     }
 
-    private static void requireApiPath(QueryStringDecoder uri) throws RequestRejectedException {
+    private static void requireApiPath(QueryStringDecoder uri) throws InvalidRequestException {
         String path = uri.rawPath();
         if (!path.equals(API_PATH) && !path.startsWith(API_PATH + "/")) {
-            throw new RequestRejectedException(HttpResponseStatus.NOT_FOUND, "no such path");
+            throw new InvalidRequestException(HttpResponseStatus.NOT_FOUND, "no such path");
         }
     }
 
     /** The class fixes the method: GET for idempotent requests, POST for all others. */
-    private void requireMethod(FullHttpRequest request, String requestClass) throws RequestRejectedException {
+    private void requireMethod(FullHttpRequest request, String requestClass) throws InvalidRequestException {
         Idempotency idempotency = idempotencyByClass.get(requestClass);
         if (idempotency == null) {
             throw badRequest("unknown " + ProtocolHeaders.REQUEST_CLASS);
         }
         HttpMethod required = idempotency == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
         if (!request.method().equals(required)) {
-            throw new RequestRejectedException(
+            throw new InvalidRequestException(
                     HttpResponseStatus.METHOD_NOT_ALLOWED, "this request class requires the method " + required);
         }
         if (idempotency == Idempotency.IDEMPOTENT_WITH_KEY) {
@@ -102,7 +102,7 @@
     }
 
     /** Returns the name of the request's tenant; null if the settings have no tenants. */
-    private String tenant(HttpHeaders headers) throws RequestRejectedException {
+    private String tenant(HttpHeaders headers) throws InvalidRequestException {
         if (tenants.isEmpty()) {
             return null;
         }
@@ -113,7 +113,7 @@
         return tenant;
     }
 
-    private static String requireHeader(HttpHeaders headers, String name) throws RequestRejectedException {
+    private static String requireHeader(HttpHeaders headers, String name) throws InvalidRequestException {
         String value = headers.get(name);
         if (value == null || value.isEmpty()) {
             throw badRequest("missing " + name);
@@ -121,7 +121,7 @@
         return value;
     }
 
-    private static long timeoutUs(String text) throws RequestRejectedException {
+    private static long timeoutUs(String text) throws InvalidRequestException {
         Matcher timeout = TIMEOUT.matcher(text);
         if (!timeout.matches() || Long.parseLong(timeout.group(1)) == 0) {
             throw badRequest("bad " + ProtocolHeaders.TIMEOUT);
@@ -134,7 +134,7 @@
         return Math.min(RESPONSE_MARGIN_US, timeoutUs / MAX_MARGIN_DIVISOR);
     }
 
-    private static RequestRejectedException badRequest(String message) {
-        return new RequestRejectedException(HttpResponseStatus.BAD_REQUEST, message);
+    private static InvalidRequestException badRequest(String message) {
+        return new InvalidRequestException(HttpResponseStatus.BAD_REQUEST, message);
     }
 }
--- a/src/main/java/gaugegw/proxy/client/RequestRejectedException.java
+++ b/src/main/java/gaugegw/proxy/client/InvalidRequestException.java
@@ -3,13 +3,13 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 
 /** A request that can't be forwarded; the message is meant for the client. */
-final class RequestRejectedException extends Exception {
+final class InvalidRequestException extends Exception {
     private static final long serialVersionUID = 1L;
 
     private final transient HttpResponseStatus status;
 
     /** Creates an exception without a stack trace, as clients may cause any number of them. */
-    RequestRejectedException(HttpResponseStatus status, String message) {
+    InvalidRequestException(HttpResponseStatus status, String message) {
         super(message, null, false, false);
         this.status = status;
     }
