--- a/src/main/java/gaugegw/proxy/client/ClientConnection.java
+++ b/src/main/java/gaugegw/proxy/client/ClientConnection.java
@@ -111,7 +111,7 @@
      * Reads the channel, unless it was read recently, so that a close which lies unread while the event loop is busy is
      * noticed. One read takes a limited number of bytes; a close behind more than that stays unnoticed.
      */
-    void poll() {
+    void detectDisconnect() {
         assert channel.eventLoop().inEventLoop();
         if (channel.isActive() && context.clock().now() - lastReadAtUs >= RECENT_READ_US) {
             Transport.readNow(channel);
--- a/src/main/java/gaugegw/proxy/client/ClientExchange.java
+++ b/src/main/java/gaugegw/proxy/client/ClientExchange.java
@@ -81,9 +81,9 @@
     }
 
     @Override
-    public void pollClient() {
+    public void detectDisconnect() {
         if (connection.isCurrent(this)) {
-            connection.poll();
+            connection.detectDisconnect();
         }
     }
 
--- a/src/main/java/gaugegw/proxy/dispatch/AttemptStarter.java
+++ b/src/main/java/gaugegw/proxy/dispatch/AttemptStarter.java
@@ -53,7 +53,7 @@
             return Optional.empty();
         }
         // An attempt for a client that has gone, with its close still unread, would be wasted work for the backend.
-        request.pollClient();
+        request.detectDisconnect();
         if (!request.isOpen()) {
             return Optional.empty();
         }
@@ -61,7 +61,7 @@
                 action.endpointId(),
                 request.upstreamRequest(),
                 timeoutUs,
-                request::pollClient,
+                request::detectDisconnect,
                 (outcome, latencyUs, response) ->
                         attemptEnded(request, number, action.endpointId(), outcome, latencyUs, response)));
     }
--- a/src/main/java/gaugegw/proxy/dispatch/DispatchedRequest.java
+++ b/src/main/java/gaugegw/proxy/dispatch/DispatchedRequest.java
@@ -65,8 +65,8 @@
     }
 
     /** Looks whether the client has closed its connection; where it has, the request has ended on return. */
-    void pollClient() {
-        responseSink.pollClient();
+    void detectDisconnect() {
+        responseSink.detectDisconnect();
     }
 
     /**
--- a/src/main/java/gaugegw/proxy/dispatch/ResponseSink.java
+++ b/src/main/java/gaugegw/proxy/dispatch/ResponseSink.java
@@ -11,7 +11,7 @@
      * Reads what the client has sent, unless that was done a moment ago: its close may lie unread while the event loop
      * is busy. Where the client has closed, {@link RequestDispatcher#clientDisconnected} is called before this returns.
      */
-    void pollClient();
+    void detectDisconnect();
 
     /** Answers with a backend's response; the sink releases its body. */
     void served(UpstreamResponse response);
