--- a/src/main/java/gaugegw/proxy/client/EventLoopDelayEstimator.java
+++ b/src/main/java/gaugegw/proxy/client/EventLoopDelayEstimator.java
@@ -15,7 +15,7 @@
     private static final long TICK_INTERVAL_US = 10_000;
 
     private final Clock clock;
-    private long lastTickUs;
+    private long lastTickAtUs;
     /** When the delay before the last tick began, on the proxy's clock; {@code Long.MAX_VALUE} if there was none. */
     private long delayedSinceUs = Long.MAX_VALUE;
 
@@ -25,7 +25,7 @@
 
     /** Starts the ticks; they end with the event loop. */
     void start(EventLoop loop) {
-        lastTickUs = clock.now();
+        lastTickAtUs = clock.now();
         loop.scheduleWithFixedDelay(this::tick, TICK_INTERVAL_US, TICK_INTERVAL_US, TimeUnit.MICROSECONDS);
     }
 
@@ -36,11 +36,11 @@
 
     private void tick() {
         delayedSinceUs = delayStartOr(Long.MAX_VALUE);
-        lastTickUs = clock.now();
+        lastTickAtUs = clock.now();
     }
 
     private long delayStartOr(long ifNotDelayed) {
-        boolean delayed = clock.now() - lastTickUs > 2 * TICK_INTERVAL_US;
-        return delayed ? lastTickUs + TICK_INTERVAL_US : ifNotDelayed;
+        boolean delayed = clock.now() - lastTickAtUs > 2 * TICK_INTERVAL_US;
+        return delayed ? lastTickAtUs + TICK_INTERVAL_US : ifNotDelayed;
     }
 }
--- a/src/main/java/gaugegw/proxy/dispatch/AttemptStarter.java
+++ b/src/main/java/gaugegw/proxy/dispatch/AttemptStarter.java
@@ -68,7 +68,7 @@
 
     /** Returns the time-out of an attempt that begins now, in microseconds: never beyond the request's deadline. */
     private long timeoutUs(DispatchedRequest request, Action.StartAttempt action) {
-        long remainingUs = request.deadlineUs() - clock.now();
+        long remainingUs = request.deadlineAtUs() - clock.now();
         return action.timeoutUs() == 0 ? remainingUs : Math.min(action.timeoutUs(), remainingUs);
     }
 
--- a/src/main/java/gaugegw/proxy/dispatch/ClientRequest.java
+++ b/src/main/java/gaugegw/proxy/dispatch/ClientRequest.java
@@ -10,7 +10,7 @@
  * @param tenant the name of its tenant; null where the settings have no tenants
  * @param key what the request concerns, for cache affinity; null where it has none
  * @param retry whether the client has marked it as a retry of its own
- * @param deadlineUs on the proxy's clock, in microseconds: the last moment at which a response can leave the proxy and
+ * @param deadlineAtUs on the proxy's clock, in microseconds: the last moment at which a response can leave the proxy and
  *     still reach the client before it gives up
  * @param upstreamRequest what is forwarded to a backend; its body stays the property of the client's side, which releases it
  */
@@ -20,5 +20,5 @@
         String tenant,
         String key,
         boolean retry,
-        long deadlineUs,
+        long deadlineAtUs,
         UpstreamRequest upstreamRequest) {}
--- a/src/main/java/gaugegw/proxy/dispatch/DispatchedRequest.java
+++ b/src/main/java/gaugegw/proxy/dispatch/DispatchedRequest.java
@@ -41,8 +41,8 @@
     }
 
     /** Returns the last useful moment of a response, on the proxy's clock, in microseconds. */
-    long deadlineUs() {
-        return clientRequest.deadlineUs();
+    long deadlineAtUs() {
+        return clientRequest.deadlineAtUs();
     }
 
     UpstreamRequest upstreamRequest() {
--- a/src/main/java/gaugegw/proxy/dispatch/OverdueTimer.java
+++ b/src/main/java/gaugegw/proxy/dispatch/OverdueTimer.java
@@ -22,7 +22,7 @@
 
     /** Starts the timer of a request that has just arrived; the request cancels it when it ends. */
     void start(DispatchedRequest request, long nowUs) {
-        long delayUs = request.deadlineUs() + OVERDUE_DELAY_US - nowUs;
+        long delayUs = request.deadlineAtUs() + OVERDUE_DELAY_US - nowUs;
         request.setOverdueTimer(loop.schedule(() -> overdueHandler.accept(request), delayUs, TimeUnit.MICROSECONDS));
     }
 }
--- a/src/main/java/gaugegw/proxy/dispatch/RequestDispatcher.java
+++ b/src/main/java/gaugegw/proxy/dispatch/RequestDispatcher.java
@@ -79,7 +79,7 @@
             responseSink.rejected(0);
             return;
         }
-        if (now >= clientRequest.deadlineUs()) {
+        if (now >= clientRequest.deadlineAtUs()) {
             responseSink.failed();
             return;
         }
@@ -91,7 +91,7 @@
                 clientRequest.requestClass(),
                 clientRequest.tenant(),
                 clientRequest.key(),
-                clientRequest.deadlineUs() - now,
+                clientRequest.deadlineAtUs() - now,
                 clientRequest.retry()));
     }
 
