--- a/src/main/java/gaugegw/proxy/config/ProxyConfig.java
+++ b/src/main/java/gaugegw/proxy/config/ProxyConfig.java
@@ -20,7 +20,7 @@
  * @param cachedEndpoints the endpoint list that this proxy last received, in discovery's form; a {@link MissingNode} where
  *     there is none
  * @param settings what the load balancer is to keep to
- * @param upstreamIdleTimeoutUs a backend closes a connection that has been idle for this time, in microseconds
+ * @param backendIdleTimeoutUs a backend closes a connection that has been idle for this time, in microseconds
  * @param connectTimeoutUs time after which a connect to a backend has failed, in microseconds
  */
 public record ProxyConfig(
@@ -30,7 +30,7 @@
         int descriptorLimit,
         JsonNode cachedEndpoints,
         BalancerSettings settings,
-        long upstreamIdleTimeoutUs,
+        long backendIdleTimeoutUs,
         long connectTimeoutUs) {
 
     /**
@@ -74,7 +74,7 @@
                 descriptorLimit,
                 cachedEndpoints,
                 settings,
-                upstreamIdleTimeoutUs,
+                backendIdleTimeoutUs,
                 connectTimeoutUs);
     }
 }
--- a/src/main/java/gaugegw/proxy/config/ProxyConfigReader.java
+++ b/src/main/java/gaugegw/proxy/config/ProxyConfigReader.java
@@ -31,7 +31,7 @@
                     descriptorLimit(),
                     cachedEndpoints(),
                     settings(settings),
-                    SettingsReader.connectionIdleTimeoutUs(settings),
+                    SettingsReader.backendIdleTimeoutUs(settings),
                     SettingsReader.connectTimeoutUs(settings));
         } catch (IllegalArgumentException e) {
             throw InvalidConfigException.settings(e);
--- a/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
@@ -56,8 +56,8 @@
         var clock = new Clock();
         var settings = config.settings();
         var limiter = new ConnectionLimiter(loop, config.descriptorLimit());
-        var upstreams = new UpstreamClient(
-                clock, transport, limiter, config.upstreamIdleTimeoutUs(), config.connectTimeoutUs());
+        var upstreams =
+                new UpstreamClient(clock, transport, limiter, config.backendIdleTimeoutUs(), config.connectTimeoutUs());
         dispatcher = new RequestDispatcher(clock, loop, log, settings, loadBalancer, upstreams);
         endpointWatcher = new EndpointWatcher(transport, log, dispatcher, config.discoveryAddress(), settings);
         dispatcher.setEndpointWatcher(endpointWatcher);
--- a/src/main/java/gaugegw/proxy/lifecycle/Warmup.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/Warmup.java
@@ -36,7 +36,7 @@
                 template.descriptorLimit(),
                 endpoints,
                 template.settings(),
-                template.upstreamIdleTimeoutUs(),
+                template.backendIdleTimeoutUs(),
                 template.connectTimeoutUs());
     }
 
--- a/src/main/java/gaugegw/settings/SettingNames.java
+++ b/src/main/java/gaugegw/settings/SettingNames.java
@@ -38,7 +38,7 @@
     static final String RETRY_AFTER = "bounds.retry_after";
     static final String MAX_RETRY_AFTER_US = "bounds.max_retry_after_us";
     static final String CONNECT_TIMEOUT_US = "bounds.connect_timeout_us";
-    static final String CONNECTION_IDLE_TIMEOUT_US = "bounds.conn_idle_us";
+    static final String BACKEND_IDLE_TIMEOUT_US = "bounds.conn_idle_us";
 
     // Safety limits.
     static final String INITIAL_CAPACITY = "invariants.cold_from";
--- a/src/main/java/gaugegw/settings/SettingsReader.java
+++ b/src/main/java/gaugegw/settings/SettingsReader.java
@@ -57,9 +57,9 @@
                 seed);
     }
 
-    /** Reads after how long without a request an endpoint closes a connection, in microseconds. */
-    public static long connectionIdleTimeoutUs(SettingsTree settings) {
-        return settings.longValue(SettingNames.CONNECTION_IDLE_TIMEOUT_US);
+    /** Reads after how long without a request a backend closes a connection, in microseconds. */
+    public static long backendIdleTimeoutUs(SettingsTree settings) {
+        return settings.longValue(SettingNames.BACKEND_IDLE_TIMEOUT_US);
     }
 
     /** Reads how long a connection may take to come up, in microseconds. */
--- a/src/test/java/gaugegw/proxy/config/ProxyConfigTest.java
+++ b/src/test/java/gaugegw/proxy/config/ProxyConfigTest.java
@@ -26,7 +26,7 @@
                 .extracting(RequestClass::idempotency)
                 .containsExactly(Idempotency.IDEMPOTENT, Idempotency.IDEMPOTENT_WITH_KEY, Idempotency.NOT_IDEMPOTENT);
         assertThat(config.settings().tenants()).containsExactly(new Tenant("acme", 100));
-        assertThat(config.upstreamIdleTimeoutUs()).isEqualTo(15_000_000);
+        assertThat(config.backendIdleTimeoutUs()).isEqualTo(15_000_000);
         assertThat(config.cachedEndpoints().path("version").asLong()).isEqualTo(41);
     }
 
