--- a/src/main/java/gaugegw/proxy/client/Frontend.java
+++ b/src/main/java/gaugegw/proxy/client/Frontend.java
@@ -68,7 +68,7 @@
                 })
                 .bind(transport.address(address));
         listener = bound.channel();
-        context.limiter().listener(listener);
+        context.limiter().setListener(listener);
         return bound;
     }
 
--- a/src/main/java/gaugegw/proxy/transport/ConnectionLimiter.java
+++ b/src/main/java/gaugegw/proxy/transport/ConnectionLimiter.java
@@ -10,7 +10,7 @@
  * closed with their responses and idle ones are evicted. While nothing can be evicted no client is accepted, and new
  * ones wait in the listener's backlog.
  *
- * <p>All methods but {@link #listener} are called on the event loop. Connections are counted from their opening until
+ * <p>All methods but {@link #setListener} are called on the event loop. Connections are counted from their opening until
  * their descriptors are released; each reports here whether it is busy, and so whether it may be evicted.
  */
 public final class ConnectionLimiter {
@@ -44,7 +44,7 @@
     }
 
     /** Sets the listening channel, which accepts only while there is room for all that it may accept in one turn. */
-    public void listener(Channel channel) {
+    public void setListener(Channel channel) {
         listener = channel;
     }
 
@@ -86,8 +86,8 @@
         return clients > budget.maxClients() * 3 / 4;
     }
 
-    /** Returns whether one more connection to a backend may be opened; evicts an idle connection where that helps. */
-    public boolean admitsBackend() {
+    /** Makes room for one more connection to a backend, by an eviction if need be; returns whether one may be opened. */
+    public boolean tryAdmitBackend() {
         assert loop.inEventLoop();
         // The descriptor of an evicted connection is still held while the new one is opened.
         return open() < budget.maxOpen()
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
@@ -134,7 +134,7 @@
         if (endpoint == null || !endpoint.isReady()) {
             return null;
         }
-        if (!endpoint.pool().reserveIdle() && !context.limiter().admitsBackend()) {
+        if (!endpoint.pool().reserveIdle() && !context.limiter().tryAdmitBackend()) {
             return null;
         }
         return new UpstreamAttempt(context, endpoint, request, timeoutUs, beforeWrite, listener);
--- a/src/test/java/gaugegw/proxy/transport/ConnectionLimiterTest.java
+++ b/src/test/java/gaugegw/proxy/transport/ConnectionLimiterTest.java
@@ -23,7 +23,7 @@
 
     /** Connects clients for as long as the proxy accepts any, so many in each turn of the loop. */
     private void connectClients(int perTurn) {
-        limiter.listener(listener);
+        limiter.setListener(listener);
         while (listener.config().isAutoRead()) {
             for (int i = 0; i < perTurn; i++) {
                 var client = new EmbeddedChannel();
@@ -35,7 +35,7 @@
 
     private int openBackends() {
         int opened = 0;
-        while (opened < DESCRIPTOR_LIMIT && limiter.admitsBackend()) {
+        while (opened < DESCRIPTOR_LIMIT && limiter.tryAdmitBackend()) {
             limiter.backendOpened(new EmbeddedChannel());
             opened++;
         }
