--- a/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
@@ -52,8 +52,9 @@
     /**
      * Applies an update of the endpoint list. Idle connections to endpoints that are no longer ready are closed.
      *
-     * @return the attempts of such endpoints whose request has not been written completely. The caller aborts them: no
-     *     attempt may begin on a draining endpoint later than the grace period
+     * @param kind what the entries are; never {@link UpdateKind#POLL_FAILED}, whose empty list would remove all endpoints
+     * @return the attempts of such endpoints whose request has not been written completely. The caller aborts them, or
+     *     they would begin at a backend that is to complete its work only
      */
     public List<UpstreamAttempt> applyUpdate(UpdateKind kind, List<ListedEndpoint> listed) {
         assert context.loop().inEventLoop();
@@ -77,7 +78,8 @@
         }
         if (known != null) {
             known.setReady(false);
-            unwritten.addAll(known.stop());
+            known.pool().closeIdle();
+            unwritten.addAll(known.unwrittenAttempts());
         }
         var added = new UpstreamEndpoint(context, entry.address());
         endpoints.put(id, added);
@@ -100,7 +102,8 @@
             if (endpoint.isReady()) {
                 return false;
             }
-            unwritten.addAll(endpoint.stop());
+            endpoint.pool().closeIdle();
+            unwritten.addAll(endpoint.unwrittenAttempts());
             return !endpoint.hasAttempts();
         });
     }
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamEndpoint.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamEndpoint.java
@@ -48,9 +48,8 @@
         return !attemptsInFlight.isEmpty();
     }
 
-    /** Closes the idle connections; returns the attempts whose request has not been written completely. */
-    List<UpstreamAttempt> stop() {
-        pool.closeIdle();
+    /** Returns a copy of the attempts in flight whose request has not been written completely, in their order. */
+    List<UpstreamAttempt> unwrittenAttempts() {
         return attemptsInFlight.stream().filter(a -> !a.isWritten()).toList();
     }
 }
