--- a/src/main/java/gaugegw/proxy/client/RequestAggregator.java
+++ b/src/main/java/gaugegw/proxy/client/RequestAggregator.java
@@ -80,7 +80,8 @@
 
     @Override
     protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-        connection.endWithError(
-                PlainTextResponse.of(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is longer than 64 KiB"));
+        connection.endWithError(PlainTextResponse.of(
+                HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE,
+                "the body is longer than " + HttpLimits.MAX_BODY_BYTES / 1024 + " KiB"));
     }
 }
--- a/src/main/java/gaugegw/proxy/discovery/EndpointWatcher.java
+++ b/src/main/java/gaugegw/proxy/discovery/EndpointWatcher.java
@@ -32,6 +32,8 @@
      * hold calls, which would be called as fast as the CPU allows. A watch continues if its next call arrives within 200 ms.
      */
     private static final long EMPTY_RESPONSE_DELAY_MS = 50;
+    /** A hold is shorter than the longest one by up to this part of it. */
+    private static final long HOLD_JITTER_DIVISOR = 4;
 
     private final EventLoop loop;
     private final Transport transport;
@@ -198,9 +200,9 @@
         }
     }
 
-    /** Returns the hold less up to a quarter, so that proxies which start together do not call in step. */
+    /** Returns the longest hold less a random part of it, so that proxies which start together do not call in step. */
     private long jitteredHoldMs() {
-        return timing.holdMs() - random.nextLong(timing.holdMs() / 4 + 1);
+        return timing.holdMs() - random.nextLong(timing.holdMs() / HOLD_JITTER_DIVISOR + 1);
     }
 
     private void callFailed(DiscoveryFailure failure) {
--- a/src/main/java/gaugegw/proxy/transport/ConnectionLimiter.java
+++ b/src/main/java/gaugegw/proxy/transport/ConnectionLimiter.java
@@ -16,6 +16,8 @@
 public final class ConnectionLimiter {
     /** Time in which the first request of a new connection arrives: one evicted sooner would fail that request. */
     private static final long FIRST_REQUEST_GRACE_NS = TimeUnit.MILLISECONDS.toNanos(20);
+    /** Above this part of the clients' share of the budget, their connections are closed with their responses. */
+    private static final int NEAR_CLIENT_LIMIT_PERCENT = 75;
 
     private final EventLoop loop;
     private final DescriptorBudget budget;
@@ -83,7 +85,7 @@
      * a close with a response never crosses the client's next request.
      */
     public boolean nearClientLimit() {
-        return clients > budget.maxClients() * 3 / 4;
+        return clients > budget.maxClients() * NEAR_CLIENT_LIMIT_PERCENT / 100;
     }
 
     /** Makes room for one more connection to a backend, by an eviction if need be; returns whether one may be opened. */
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
@@ -21,6 +21,12 @@
  * never retries: each attempt is one that the caller has started. All methods are called on the event loop.
  */
 public final class UpstreamClient {
+    /**
+     * The part of a backend's idle time-out after which this side closes a connection. Well below all of it, as a request
+     * that crosses the backend's close is reset and may have been executed.
+     */
+    private static final int IDLE_TIMEOUT_PERCENT = 60;
+
     private final UpstreamContext context;
     /** By endpoint id. An endpoint that is no longer ready stays until its attempts have ended. */
     private final Map<String, UpstreamEndpoint> endpoints = new HashMap<>();
@@ -37,8 +43,7 @@
             ConnectionLimiter limiter,
             long backendIdleTimeoutUs,
             long connectTimeoutUs) {
-        // Well before the backend does: a request that crosses the backend's close is reset and may have been executed.
-        long idleTimeoutUs = backendIdleTimeoutUs * 3 / 5;
+        long idleTimeoutUs = backendIdleTimeoutUs * IDLE_TIMEOUT_PERCENT / 100;
         int connectTimeoutMs = (int) Math.max(1, TimeUnit.MICROSECONDS.toMillis(connectTimeoutUs));
         Bootstrap bootstrap = transport.client().clone().option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs);
         context = new UpstreamContext(clock, transport, limiter, bootstrap, idleTimeoutUs, new LearnedIdleLimit());
