--- a/src/main/java/gaugegw/proxy/dispatch/AttemptStarter.java
+++ b/src/main/java/gaugegw/proxy/dispatch/AttemptStarter.java
@@ -53,7 +53,7 @@
             return Optional.empty();
         }
         // An attempt for a client that has gone, with its close still unread, would be wasted work for the backend.
-        request.pollClient();
+        request.detectDisconnect();
         if (!request.isOpen()) {
             return Optional.empty();
         }
@@ -61,14 +61,14 @@
                 action.endpointId(),
                 request.upstreamRequest(),
                 timeoutUs,
-                request::pollClient,
+                request::detectDisconnect,
                 (outcome, latencyUs, response) ->
                         attemptEnded(request, number, action.endpointId(), outcome, latencyUs, response)));
     }
 
     /** Returns the time-out of an attempt that begins now, in microseconds: never beyond the request's deadline. */
     private long timeoutUs(DispatchedRequest request, Action.StartAttempt action) {
-        long remainingUs = request.deadlineUs() - clock.now();
+        long remainingUs = request.deadlineAtUs() - clock.now();
         return action.timeoutUs() == 0 ? remainingUs : Math.min(action.timeoutUs(), remainingUs);
     }
 
--- a/src/main/java/gaugegw/proxy/dispatch/DispatchedRequest.java
+++ b/src/main/java/gaugegw/proxy/dispatch/DispatchedRequest.java
@@ -41,8 +41,8 @@
     }
 
     /** Returns the last useful moment of a response, on the proxy's clock, in microseconds. */
-    long deadlineUs() {
-        return clientRequest.deadlineUs();
+    long deadlineAtUs() {
+        return clientRequest.deadlineAtUs();
     }
 
     UpstreamRequest upstreamRequest() {
@@ -65,8 +65,8 @@
     }
 
     /** Looks whether the client has closed its connection; where it has, the request has ended on return. */
-    void pollClient() {
-        responseSink.pollClient();
+    void detectDisconnect() {
+        responseSink.detectDisconnect();
     }
 
     /**
