--- a/src/main/java/gaugegw/balancer/AdmissionQueue.java
+++ b/src/main/java/gaugegw/balancer/AdmissionQueue.java
@@ -1,31 +1,38 @@
 package gaugegw.balancer;
 
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.List;
 
 /** The requests that wait for an attempt, those of the highest priority weight first, then the earliest objective. */
 final class AdmissionQueue {
+    /** A request is given up so many latency budgets before its objective: an attempt would be answered too late. */
+    private static final int GIVE_UP_LATENCY_BUDGETS = 2;
+    /** A request is given up so many event intervals before its deadline, or the client would leave unanswered. */
+    private static final int GIVE_UP_EVENT_INTERVALS = 2;
+
     private final long giveUpBeforeObjectiveUs;
     private final long giveUpBeforeDeadlineUs;
     private final RequestFlows flows;
-    private final EndpointMembership membership;
+    private final CacheAffinity affinity;
     private final List<PendingRequest> requests = new ArrayList<>();
 
-    /** A request is given up while an attempt can be answered in time, and the final answer beats the deadline. */
-    AdmissionQueue(ControlPeriods periods, long minEventIntervalUs, RequestFlows flows, EndpointMembership membership) {
-        this.giveUpBeforeObjectiveUs = 2 * periods.latencyBudgetUs();
-        this.giveUpBeforeDeadlineUs = 2 * minEventIntervalUs;
+    /**
+     * Creates an empty queue.
+     *
+     * @param minEventIntervalUs the least time between two rounds of events, in microseconds
+     */
+    AdmissionQueue(ControlPeriods periods, long minEventIntervalUs, RequestFlows flows, CacheAffinity affinity) {
+        this.giveUpBeforeObjectiveUs = GIVE_UP_LATENCY_BUDGETS * periods.latencyBudgetUs();
+        this.giveUpBeforeDeadlineUs = GIVE_UP_EVENT_INTERVALS * minEventIntervalUs;
         this.flows = flows;
-        this.membership = membership;
+        this.affinity = affinity;
     }
 
     void add(PendingRequest request) {
         long giveUpAtUs = Math.min(
                 request.objectiveAtUs() - giveUpBeforeObjectiveUs, request.deadlineAtUs() - giveUpBeforeDeadlineUs);
-        EndpointRecord affinityEndpoint =
-                request.affinityKey() == null ? null : affinityEndpoint(request.affinityKey());
-        request.recordQueued(giveUpAtUs, flows.shareBelow(request.priorityWeight()), affinityEndpoint);
+        request.recordQueued(
+                giveUpAtUs, flows.shareBelow(request.priorityWeight()), affinity.endpointFor(request.affinityKey()));
         int position = requests.size();
         while (position > 0 && outranks(request, requests.get(position - 1))) {
             position--;
@@ -39,13 +46,6 @@
                         && request.objectiveAtUs() < other.objectiveAtUs());
     }
 
-    /** Returns the endpoint that likely has a key cached: all proxies find the same one, by rendezvous hashing. */
-    private EndpointRecord affinityEndpoint(String key) {
-        return membership.ready().stream()
-                .max(Comparator.comparingInt(e -> HashMixer.mix(key.hashCode() ^ e.id().hashCode())))
-                .orElse(null);
-    }
-
     int size() {
         return requests.size();
     }
--- a/src/main/java/gaugegw/balancer/EarliestDeadlineLoadBalancer.java
+++ b/src/main/java/gaugegw/balancer/EarliestDeadlineLoadBalancer.java
@@ -43,10 +43,10 @@
         limiter = new ConcurrencyLimiter(proxyCount, periods, membership, load, rates);
         registry = new RequestRegistry(limits.cancellation());
         priority = new RequestPriority(settings, flows, quotas);
-        queue = new AdmissionQueue(periods, settings.minEventIntervalUs(), flows, membership);
+        queue = new AdmissionQueue(periods, settings.minEventIntervalUs(), flows, new CacheAffinity(membership));
         retryPolicy = new RetryPolicy(limits.maxAttempts(), membership, guard);
-        rejection =
-                new RejectionPolicy(limits.maxRetryAfterUs(), periods, membership, load, queue, guard, rates, registry);
+        var retryAfter = new RetryAfter(limits.maxRetryAfterUs(), periods, membership, load, queue);
+        rejection = new RejectionPolicy(retryAfter, guard, rates, registry);
         var slowStart = new SlowStartBudget(settings, membership, load);
         var selector = new EarliestDeadlineSelector(proxyCount, membership, guard, slowStart, load, limiter);
         admission = new AdmissionController(periods, flows.count(), membership, queue, limiter, selector, rejection);
--- a/src/main/java/gaugegw/balancer/EndpointMembership.java
+++ b/src/main/java/gaugegw/balancer/EndpointMembership.java
@@ -7,8 +7,6 @@
 import gaugegw.balancer.api.Event.EndpointUpdate;
 import gaugegw.balancer.api.UpdateKind;
 import java.util.ArrayList;
-import java.util.Collections;
-import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -16,12 +14,10 @@
 
 /** The endpoint list as this proxy knows it. Owns the records of the endpoints that are listed and not gone. */
 final class EndpointMembership {
-    /** For rounding, where a proxy's start falls on the boundary between two endpoints. */
-    private static final double BOUNDARY_TOLERANCE = 1e-9;
-
     private final BalancerSettings settings;
     private final int flowCount;
     private final ControlPeriods periods;
+    private final ProxyEndpointOrder order;
     private final Map<String, EndpointRecord> byId = new HashMap<>();
     private final Map<String, LatencyAverage> kinds = new HashMap<>();
     private final List<EndpointRecord> ready = new ArrayList<>();
@@ -30,6 +26,7 @@
         this.settings = settings;
         this.flowCount = flowCount;
         this.periods = periods;
+        this.order = new ProxyEndpointOrder(settings.proxyCount(), settings.proxyIndex());
     }
 
     /** Returns the endpoints that may receive attempts, in this proxy's order; a live list, not to be changed. */
@@ -41,23 +38,9 @@
         return byId.size();
     }
 
-    /**
-     * Puts the endpoints in this proxy's order, which decides between equal deadlines and on the proxy's subset. As many
-     * proxies as there are endpoints start evenly along one list, by weight, and the next as many along another: no two
-     * proxies prefer the same endpoint and then the same next one.
-     */
+    /** Puts the ready endpoints in this proxy's order, which depends on their weights. */
     void sort() {
-        int lists = Math.max(1, settings.proxyCount() / Math.max(1, ready.size()));
-        int shuffle = HashMixer.mix(settings.proxyIndex() % lists);
-        ready.sort(Comparator.comparingInt(e -> HashMixer.mix(e.id().hashCode() ^ shuffle)));
-        int place = settings.proxyIndex() / lists;
-        double remaining = place * (double) lists / settings.proxyCount();
-        int first = 0;
-        while (first < ready.size() - 1 && remaining > ready.get(first).weight() - BOUNDARY_TOLERANCE) {
-            remaining -= ready.get(first).weight();
-            first++;
-        }
-        Collections.rotate(ready, -first);
+        order.sort(ready);
     }
 
     /** Applies a list update; an endpoint missing from a complete list is gone. The weights are then out of date. */
--- a/src/main/java/gaugegw/balancer/RetryPolicy.java
+++ b/src/main/java/gaugegw/balancer/RetryPolicy.java
@@ -1,33 +1,46 @@
 package gaugegw.balancer;
 
-/** Decides whether a request is attempted again. A token bucket keeps retries from multiplying an overload. */
+/**
+ * Decides whether a request whose attempts have all failed is attempted again: before its latency objective passes,
+ * within the limit of attempts and the {@link RetryBudget}, and where {@link DuplicateExecutionGuard} permits a repeat.
+ */
 final class RetryPolicy {
-    private static final double TOKENS_PER_REQUEST = 0.2;
-    private static final double MAX_TOKENS = 10;
-
     private final int maxAttempts;
     private final EndpointMembership membership;
     private final DuplicateExecutionGuard duplicateGuard;
-    private double tokens = MAX_TOKENS;
+    private final RetryBudget budget = new RetryBudget();
 
+    /**
+     * Creates a policy with a full retry budget.
+     *
+     * @param maxAttempts the most attempts of one request, the first included
+     */
     RetryPolicy(int maxAttempts, EndpointMembership membership, DuplicateExecutionGuard duplicateGuard) {
         this.maxAttempts = maxAttempts;
         this.membership = membership;
         this.duplicateGuard = duplicateGuard;
     }
 
+    /** Takes the arrival of a request, which adds to the retry budget. */
     void recordRequest() {
-        tokens = Math.min(MAX_TOKENS, tokens + TOKENS_PER_REQUEST);
+        budget.recordRequest();
     }
 
-    /** Returns whether to retry a request whose attempts have all failed, and if so takes a token. */
+    /** Returns whether to retry a request whose attempts have all failed, and if so takes it from the budget. */
     boolean tryRetry(PendingRequest request, long nowUs) {
         boolean retry = nowUs < request.objectiveAtUs()
-                && tokens >= 1
+                && budget.permitsRetry()
                 && request.attempts().size() < maxAttempts
-                // Queued without an endpoint that may receive it, it would only take the place of another.
-                && membership.ready().stream().anyMatch(e -> duplicateGuard.permitsAttempt(request, e, nowUs));
-        tokens -= retry ? 1 : 0;
+                && hasPermittedEndpoint(request, nowUs);
+        if (retry) {
+            budget.recordRetry();
+        }
         return retry;
     }
+
+    /** A request queued without an endpoint that may receive it would only take the place of another. */
+    private boolean hasPermittedEndpoint(PendingRequest request, long nowUs) {
+        return membership.ready().stream()
+                .anyMatch(endpoint -> duplicateGuard.permitsAttempt(request, endpoint, nowUs));
+    }
 }
