--- a/src/main/java/gaugegw/balancer/AdmissionController.java
+++ b/src/main/java/gaugegw/balancer/AdmissionController.java
@@ -3,13 +3,16 @@
 import gaugegw.balancer.api.Action;
 import java.util.function.Consumer;
 
-/** Starts attempts for queued requests, and gives up those that wait too long or are too many. */
+/**
+ * Starts attempts for queued requests as far as {@link ConcurrencyLimiter} permits, at the endpoints that {@link
+ * EarliestDeadlineSelector} selects, and gives up requests that wait too long or are too many.
+ */
 final class AdmissionController {
-    /** The token of the queue's timer; recorded actions contain it. */
+    /** The token of the queue's timer. It is on the simulator's wire, so it must not change. */
     private static final String TIMER_TOKEN = "held";
-    /** The queue is looked at so often in a latency budget: the passing of time adds capacity. */
+    /** The queue is processed so often in a latency budget without other events: unused capacity grows with time. */
     private static final int WAKE_UPS_PER_LATENCY_BUDGET = 4;
-    /** Time-out in times to the latency objective. If it were longer, silent endpoints would use up the limit. */
+    /** The time-out in times left to the objective. If it were longer, silent endpoints would use up the limit. */
     private static final double TIMEOUT_OBJECTIVES = 2;
 
     private final ControlPeriods periods;
@@ -38,6 +41,7 @@
         this.rejection = rejection;
     }
 
+    /** Processes the queue once; called after each event, as any may have freed capacity. */
     void processQueue(long nowUs, Consumer<Action> actions) {
         if (queue.size() > 0) {
             admitToAffinityEndpoints(nowUs, actions);
@@ -49,15 +53,15 @@
 
     /** Requests whose affinity endpoint is selected go first: elsewhere their work takes more of the capacity. */
     private void admitToAffinityEndpoints(long nowUs, Consumer<Action> actions) {
-        int i = 0;
-        while (i < queue.size()
-                && queue.get(i).priorityWeight() == queue.get(0).priorityWeight()
-                && limiter.permits(queue.get(i), nowUs)) {
-            PendingRequest request = queue.get(i);
+        int position = 0;
+        while (position < queue.size()
+                && queue.get(position).priorityWeight() == queue.get(0).priorityWeight()
+                && limiter.permits(queue.get(position), nowUs)) {
+            PendingRequest request = queue.get(position);
             if (request.affinityEndpoint() != null && selector.select(request, nowUs) == request.affinityEndpoint()) {
                 start(request, request.affinityEndpoint(), nowUs, actions);
             } else {
-                i++;
+                position++;
             }
         }
     }
@@ -65,9 +69,9 @@
     /** Admits in order. A flow whose first attempts wait for an endpoint does not block the other flows. */
     private void admitInOrder(long nowUs, Consumer<Action> actions) {
         var blockedFlows = new boolean[flowCount];
-        int i = 0;
-        while (i < queue.size() && limiter.permits(queue.get(i), nowUs)) {
-            PendingRequest request = queue.get(i);
+        int position = 0;
+        while (position < queue.size() && limiter.permits(queue.get(position), nowUs)) {
+            PendingRequest request = queue.get(position);
             boolean firstAttempt = request.attempts().isEmpty();
             boolean blocked = firstAttempt && blockedFlows[request.flow()];
             EndpointRecord endpoint = blocked ? null : selector.select(request, nowUs);
@@ -75,7 +79,7 @@
                 start(request, endpoint, nowUs, actions);
             } else {
                 blockedFlows[request.flow()] |= firstAttempt;
-                i++;
+                position++;
             }
         }
     }
@@ -89,16 +93,18 @@
         actions.accept(new Action.StartAttempt(request.id(), endpoint.id(), attempt.timeoutUs()));
     }
 
+    /** Returns the time-out of an attempt that starts now, in microseconds: never past the deadline. */
     private static long timeoutUs(PendingRequest request, long nowUs) {
         long toObjectiveUs = request.objectiveAtUs() - nowUs;
         long byObjectiveUs = toObjectiveUs > 0 ? (long) (TIMEOUT_OBJECTIVES * toObjectiveUs) : Long.MAX_VALUE;
         return Math.min(request.deadlineAtUs() - nowUs, byObjectiveUs);
     }
 
+    /** Rejects from the end of the queue, as those of the lowest priority are there. */
     private void giveUp(long nowUs, Consumer<Action> actions) {
-        for (int i = queue.size() - 1; i >= 0; i--) {
-            PendingRequest request = queue.get(i);
-            boolean tooMany = i >= Math.max(limiter.limit(), 1);
+        for (int position = queue.size() - 1; position >= 0; position--) {
+            PendingRequest request = queue.get(position);
+            boolean tooMany = position >= Math.max(limiter.limit(), 1);
             if (request.giveUpAtUs() <= nowUs || membership.ready().isEmpty() || tooMany) {
                 queue.remove(request);
                 rejection.reject(request, nowUs, actions);
@@ -106,7 +112,7 @@
         }
     }
 
-    /** Sets a timer, so that no queued request passes its deadline without a final answer. */
+    /** Sets a timer unless an early enough one is set, so that no queued request passes its deadline without a final answer. */
     private void scheduleWakeUp(long nowUs, Consumer<Action> actions) {
         long nextGiveUpAtUs = queue.nextGiveUpAtUs();
         if (queue.size() > 0 && (nowUs >= wakeUpAtUs || nextGiveUpAtUs < wakeUpAtUs)) {
--- a/src/main/java/gaugegw/balancer/AdmissionQueue.java
+++ b/src/main/java/gaugegw/balancer/AdmissionQueue.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The requests that wait for an attempt, those of the highest priority weight first, then the earliest objective. */
+/**
+ * The requests that wait for an attempt, in order: the highest priority weight first, then the earliest objective. Sets
+ * when each is given up, which is early enough that the final answer is of use to the client.
+ */
 final class AdmissionQueue {
     /** A request is given up so many latency budgets before its objective: an attempt would be answered too late. */
     private static final int GIVE_UP_LATENCY_BUDGETS = 2;
--- a/src/main/java/gaugegw/balancer/AttemptOutcomeRecorder.java
+++ b/src/main/java/gaugegw/balancer/AttemptOutcomeRecorder.java
@@ -27,7 +27,7 @@
         }
     }
 
-    /** A failure counts as a slow answer, or an endpoint that fails fast would gain weight by it. */
+    /** A failure counts as a slow answer, or an endpoint that fails fast would gain weight by it. In microseconds. */
     private static long effectiveLatencyUs(PendingRequest request, AttemptRecord attempt, AttemptEnded event) {
         return switch (event.outcome()) {
             case SUCCESS -> event.latencyUs();
--- a/src/main/java/gaugegw/balancer/DiscoveryBackoff.java
+++ b/src/main/java/gaugegw/balancer/DiscoveryBackoff.java
@@ -22,10 +22,16 @@
     /** The delay before jitter after a first failure, in microseconds; it doubles with each further one in a row. */
     private static final long FIRST_DELAY_US = 200_000;
 
+    private static final int GROWTH_FACTOR = 2;
+    /** Delays are shortened by up to this part, so that proxies do not all call discovery at the same moment. */
+    private static final double JITTER_SHARE = 0.5;
+    /** Longer ago than any failure; not the least value, as the time since then would overflow. */
+    private static final long NEVER_US = Long.MIN_VALUE / 2;
+
     private final Random random;
     private final long maxDelayUs;
     private long delayUs;
-    private long failedAtUs = Long.MIN_VALUE / 2;
+    private long failedAtUs = NEVER_US;
 
     /** Starts with no failure; no delay is longer than the poll interval. */
     DiscoveryBackoff(Random random, long pollIntervalUs) {
@@ -40,7 +46,7 @@
     long nextDelayUs(long nowUs) {
         boolean firstInRow = nowUs - failedAtUs > MAX_PROPAGATION_DELAY_US;
         failedAtUs = nowUs;
-        delayUs = Math.min(firstInRow ? FIRST_DELAY_US : 2 * delayUs, maxDelayUs);
-        return (long) Math.ceil(delayUs * (1 - random.nextDouble() / 2));
+        delayUs = Math.min(firstInRow ? FIRST_DELAY_US : GROWTH_FACTOR * delayUs, maxDelayUs);
+        return (long) Math.ceil(delayUs * (1 - JITTER_SHARE * random.nextDouble()));
     }
 }
--- a/src/main/java/gaugegw/balancer/DiscoveryPolling.java
+++ b/src/main/java/gaugegw/balancer/DiscoveryPolling.java
@@ -7,7 +7,7 @@
 
 /** Polls discovery for a watch of the endpoint list, again after each poll interval or failure until it is answered. */
 final class DiscoveryPolling {
-    /** The token of the poll's timer; recorded actions contain it. */
+    /** The token of the poll's timer. It is on the simulator's wire, so it must not change. */
     private static final String TIMER_TOKEN = "ask";
 
     private static final long NOT_SCHEDULED = Long.MAX_VALUE;
--- a/src/main/java/gaugegw/balancer/EarliestDeadlineLoadBalancer.java
+++ b/src/main/java/gaugegw/balancer/EarliestDeadlineLoadBalancer.java
@@ -47,8 +47,9 @@
         retryPolicy = new RetryPolicy(limits.maxAttempts(), membership, guard);
         var retryAfter = new RetryAfter(limits.maxRetryAfterUs(), periods, membership, load, queue);
         rejection = new RejectionPolicy(retryAfter, guard, rates, registry);
+        var subset = new EndpointSubset(proxyCount, membership, load);
         var slowStart = new SlowStartBudget(settings, membership, load);
-        var selector = new EarliestDeadlineSelector(proxyCount, membership, guard, slowStart, load, limiter);
+        var selector = new EarliestDeadlineSelector(membership, subset, guard, slowStart, limiter);
         admission = new AdmissionController(periods, flows.count(), membership, queue, limiter, selector, rejection);
         outcomes = new AttemptOutcomeRecorder(rates, load);
         polling = new DiscoveryPolling(settings);
--- a/src/main/java/gaugegw/balancer/EarliestDeadlineSelector.java
+++ b/src/main/java/gaugegw/balancer/EarliestDeadlineSelector.java
@@ -10,37 +10,25 @@
     private static final double SAME_ZONE_PREFERENCE = 4;
     /** The endpoint that likely has the request's key cached counts as this many times its weight. */
     private static final double CACHED_KEY_PREFERENCE = 4;
-    /** So many proxies share an endpoint, if there are as many. */
-    private static final double PROXIES_PER_ENDPOINT = 3;
     /** Above this share of unhealthy endpoints it is this proxy that is cut off, or the load: health is ignored. */
     private static final double PANIC_THRESHOLD = 0.75;
-    /** An endpoint slower than this multiple of its kind's mean latency does not do a subset member's part. */
-    private static final double SLOW_MULTIPLE = 4;
 
-    private final int proxyCount;
     private final EndpointMembership membership;
+    private final EndpointSubset subset;
     private final DuplicateExecutionGuard duplicateGuard;
     private final SlowStartBudget slowStart;
-    private final LoadMeasurement load;
     private final ConcurrencyLimiter limiter;
 
-    /**
-     * Creates a selector that keeps no state of its own.
-     *
-     * @param proxyCount the number of proxies that share the endpoints, this one included
-     */
     EarliestDeadlineSelector(
-            int proxyCount,
             EndpointMembership membership,
+            EndpointSubset subset,
             DuplicateExecutionGuard duplicateGuard,
             SlowStartBudget slowStart,
-            LoadMeasurement load,
             ConcurrencyLimiter limiter) {
-        this.proxyCount = proxyCount;
         this.membership = membership;
+        this.subset = subset;
         this.duplicateGuard = duplicateGuard;
         this.slowStart = slowStart;
-        this.load = load;
         this.limiter = limiter;
     }
 
@@ -53,7 +41,7 @@
         int permitted = 0;
         int unhealthy = 0;
         int failing = 0;
-        double subsetRemaining = subsetSize(nowUs);
+        double subsetRemaining = subset.size(nowUs);
         for (EndpointRecord endpoint : membership.ready()) {
             if (!duplicateGuard.permitsAttempt(request, endpoint, nowUs)) {
                 continue;
@@ -77,7 +65,7 @@
                 bestTier = tier;
                 earliest = deadline;
             }
-            subsetRemaining -= healthy && fillsSubset(endpoint, warmingUp) ? 1 : 0;
+            subsetRemaining -= healthy && subset.takesPlace(endpoint, warmingUp) ? 1 : 0;
         }
         return isAcceptable(bestCondition, permitted, unhealthy, failing) ? best : null;
     }
@@ -91,24 +79,13 @@
         return tier.isPreferredTo(otherTier) && Double.isFinite(deadline);
     }
 
+    /** Returns (virtual time + 1) / weight, without a unit: the virtual time by which the next attempt is due. */
     private static double deadline(EndpointRecord endpoint, PendingRequest request) {
         double zonePreference = endpoint.isInProxyZone() ? SAME_ZONE_PREFERENCE : 1;
         double cachePreference = endpoint == request.affinityEndpoint() ? CACHED_KEY_PREFERENCE : 1;
         return (endpoint.virtualTime() + 1) / (endpoint.weight() * zonePreference * cachePreference);
     }
 
-    /** Returns how many healthy endpoints this proxy uses: its part, or more if it is far busier than others. */
-    private double subsetSize(long nowUs) {
-        double evenPart = PROXIES_PER_ENDPOINT * membership.ready().size() / proxyCount;
-        return Math.max(evenPart, load.answersPerUs(nowUs) * load.unloadedLatencyUs());
-    }
-
-    private boolean fillsSubset(EndpointRecord endpoint, boolean warmingUp) {
-        LatencyAverage kind = endpoint.latency().kind();
-        boolean slow = kind.samples() > 0 && !(endpoint.latency().expectedUs() < SLOW_MULTIPLE * kind.meanUs());
-        return proxyCount > PROXIES_PER_ENDPOINT && !slow && !warmingUp;
-    }
-
     /** Limits an endpoint to its weight's share of the attempts in flight: virtual time sees starts, but no answers. */
     private boolean isBelowFairShare(EndpointRecord endpoint) {
         double fairShare = Math.ceil(endpoint.weight() * (limiter.attemptsInFlight() + 1));
--- a/src/main/java/gaugegw/balancer/EndpointHealth.java
+++ b/src/main/java/gaugegw/balancer/EndpointHealth.java
@@ -3,7 +3,10 @@
 import gaugegw.balancer.api.AttemptOutcome;
 import java.util.stream.Stream;
 
-/** Guards against endpoints that hang, that cannot be reached, or that fail the requests of some flows only. */
+/**
+ * The passive health of one endpoint, by the outcomes of its attempts, as a whole and for each flow. Guards against
+ * endpoints that hang, that cannot be reached, or that fail the requests of some flows only.
+ */
 final class EndpointHealth {
     /** Whether an endpoint may receive the attempts of a flow. */
     enum Condition {
--- a/src/main/java/gaugegw/balancer/EndpointMembership.java
+++ b/src/main/java/gaugegw/balancer/EndpointMembership.java
@@ -12,7 +12,10 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The endpoint list as this proxy knows it. Owns the records of the endpoints that are listed and not gone. */
+/**
+ * The endpoint list as this proxy knows it. Applies list updates, and owns the records of the endpoints that are listed
+ * and not gone.
+ */
 final class EndpointMembership {
     private final BalancerSettings settings;
     private final int flowCount;
@@ -29,15 +32,16 @@
         this.order = new ProxyEndpointOrder(settings.proxyCount(), settings.proxyIndex());
     }
 
+    /** Returns the number of endpoints remembered. */
+    int size() {
+        return byId.size();
+    }
+
     /** Returns the endpoints that may receive attempts, in this proxy's order; a live list, not to be changed. */
     List<EndpointRecord> ready() {
         return ready;
     }
 
-    int size() {
-        return byId.size();
-    }
-
     /** Puts the ready endpoints in this proxy's order, which depends on their weights. */
     void sort() {
         order.sort(ready);
--- a/src/main/java/gaugegw/balancer/EndpointWeights.java
+++ b/src/main/java/gaugegw/balancer/EndpointWeights.java
@@ -2,9 +2,13 @@
 
 import java.util.List;
 
-/** The weights w = c / sum of c, with c = 1 / expected latency. With each refresh the deadline order starts afresh. */
+/**
+ * Sets the weights of the ready endpoints: w = c / sum of c, with c = 1 / expected latency, so that faster endpoints get
+ * more attempts. The weights hold for a refresh period or until the endpoint list changes. With each refresh the deadline
+ * order starts afresh, as virtual times that grew by different weights cannot be compared.
+ */
 final class EndpointWeights {
-    /** No endpoint's c is less than this part of the largest. */
+    /** No endpoint's c is less than this part of the largest, or it would get too few attempts to show a recovery. */
     private static final double FLOOR = 0.05;
 
     private final EndpointMembership membership;
@@ -42,7 +46,10 @@
         membership.sort();
     }
 
-    /** A kind without samples goes by its list weight; returns that weight's unit, by the kinds that have some. */
+    /**
+     * Returns the factor from list weights to c, in 1 / microsecond: a kind without samples goes by its list weight, in
+     * the scale of the kinds that have some.
+     */
     private static double listWeightScale(List<EndpointRecord> endpoints) {
         return endpoints.stream()
                 .filter(e -> e.latency().kind().samples() > 0)
--- a/src/main/java/gaugegw/balancer/FailureBackoff.java
+++ b/src/main/java/gaugegw/balancer/FailureBackoff.java
@@ -18,6 +18,8 @@
     /** The longest backoff, in periods. */
     private static final int MAX_PERIODS = 8;
 
+    private static final int GROWTH_FACTOR = 2;
+
     private long backoffUs;
     private long backoffUntilUs = Long.MIN_VALUE;
 
@@ -33,14 +35,19 @@
         return backoffUs > 0;
     }
 
+    /**
+     * Takes a result.
+     *
+     * @param periodUs the backoff after a first failure, in microseconds
+     */
     void record(boolean success, long nowUs, long periodUs) {
         if (state(nowUs) == State.BACKING_OFF) {
             return;
         }
         if (success) {
-            backoffUs = backoffUs > periodUs ? backoffUs / 2 : 0;
+            backoffUs = backoffUs > periodUs ? backoffUs / GROWTH_FACTOR : 0;
         } else {
-            backoffUs = Math.min(Math.max(2 * backoffUs, periodUs), MAX_PERIODS * periodUs);
+            backoffUs = Math.min(Math.max(GROWTH_FACTOR * backoffUs, periodUs), MAX_PERIODS * periodUs);
             backoffUntilUs = nowUs + backoffUs;
         }
     }
--- a/src/main/java/gaugegw/balancer/HealthTracker.java
+++ b/src/main/java/gaugegw/balancer/HealthTracker.java
@@ -17,7 +17,11 @@
         return backoff.state(nowUs) == FailureBackoff.State.BACKING_OFF;
     }
 
-    /** Returns whether an attempt may begin: while probing one at a time, else unless the endpoint has gone silent. */
+    /**
+     * Returns whether an attempt may begin: while probing one at a time, else unless the endpoint has gone silent.
+     *
+     * @param maxSilenceUs how long attempts in flight may go without a sign of life, in microseconds
+     */
     boolean mayReceive(long nowUs, long maxSilenceUs) {
         return switch (backoff.state(nowUs)) {
             case CLOSED -> inFlight == 0 || nowUs - lastHeardAtUs < maxSilenceUs;
@@ -31,6 +35,11 @@
         inFlight++;
     }
 
+    /**
+     * Takes the end of an attempt.
+     *
+     * @param heard false if it ended by a time-out or a cancellation, which are no sign of life
+     */
     void recordAttemptEnded(long nowUs, boolean heard) {
         inFlight--;
         lastHeardAtUs = heard ? nowUs : lastHeardAtUs;
--- a/src/main/java/gaugegw/balancer/LoadMeasurement.java
+++ b/src/main/java/gaugegw/balancer/LoadMeasurement.java
@@ -24,7 +24,11 @@
         sampleDueAtUs = nowUs + periodUs;
     }
 
-    /** Takes a successful answer. */
+    /**
+     * Takes a successful answer.
+     *
+     * @param latencyUs its latency in microseconds
+     */
     void recordAnswer(long latencyUs, long nowUs) {
         latency.record(latencyUs);
         answersPerUs = answersPerUs(nowUs) + 1.0 / periodUs;
@@ -41,7 +45,7 @@
         // The least of the means, as a mean under load includes time in queues.
         double meanUs = hasReliableLatency() ? latency.meanUs() : 0;
         unloadedLatencyUs = unloadedLatencyUs == 0 ? meanUs : Math.min(unloadedLatencyUs, meanUs);
-        // An average, as answers of endpoints that have just left the list tell nothing of those that stay.
+        // An average, as answers of endpoints that have just left the list say nothing about those that stay.
         double throughputPerUs = answersPerUs(nowUs) / Math.max(1, endpointCount);
         endpointThroughputPerUs += (throughputPerUs - endpointThroughputPerUs)
                 * Math.max(1.0 / samples, 1 - ControlPeriods.KEPT_PER_REFRESH);
--- a/src/main/java/gaugegw/balancer/RequestFlows.java
+++ b/src/main/java/gaugegw/balancer/RequestFlows.java
@@ -6,7 +6,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** The request classes, and the flows: the requests of one class and tenant, or of no known tenant, numbered from 0. */
+/**
+ * The request classes by name, and the numbering of the flows. A flow is the requests of one class and tenant, or of one
+ * class without a known tenant. Health is kept by flow, as an endpoint may fail the requests of some flows only.
+ */
 final class RequestFlows {
     private final List<RequestClass> classes;
     private final Map<String, RequestClass> byName = new HashMap<>();
@@ -40,8 +43,10 @@
     double shareBelow(double priorityWeight) {
         int below = 0;
         for (RequestClass requestClass : byName.values()) {
-            below += requestClass.priorityWeight() < priorityWeight ? 1 : 0;
+            if (requestClass.priorityWeight() < priorityWeight) {
+                below++;
+            }
         }
-        return 1.0 * below / byName.size();
+        return below / (double) byName.size();
     }
 }
--- a/src/main/java/gaugegw/balancer/RequestPriority.java
+++ b/src/main/java/gaugegw/balancer/RequestPriority.java
@@ -6,7 +6,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Sets the priority weight of a request: its class's, reduced if its tenant is over quota or its objective has passed. */
+/**
+ * Sets the priority weight of a request, its objective and its deadline. The weight is that of its class, times a fraction
+ * if the tenant is over quota and times another if the objective has passed already, as a late answer is of less value.
+ */
 final class RequestPriority {
     private final BalancerSettings settings;
     private final RequestFlows flows;
--- a/src/main/java/gaugegw/balancer/RequestRegistry.java
+++ b/src/main/java/gaugegw/balancer/RequestRegistry.java
@@ -23,6 +23,7 @@
         return byId.get(requestId);
     }
 
+    /** Returns the number of requests remembered. */
     int size() {
         return byId.size();
     }
--- a/src/main/java/gaugegw/balancer/SlowStartAllowance.java
+++ b/src/main/java/gaugegw/balancer/SlowStartAllowance.java
@@ -39,6 +39,7 @@
         return Math.floor(granted) - usedOrExpired;
     }
 
+    /** Takes one attempt that has started, in slow start or after it. */
     void use() {
         usedOrExpired += 1;
     }
--- a/src/main/java/gaugegw/balancer/SlowStartBudget.java
+++ b/src/main/java/gaugegw/balancer/SlowStartBudget.java
@@ -11,6 +11,8 @@
     /** Part of the budget that is used, as requests differ in size and the capacity is an estimate. */
     private static final double SAFETY_MARGIN = 0.4;
 
+    private static final double FULLY_WARM = 1;
+
     private final BalancerSettings settings;
     private final EndpointMembership membership;
     private final LoadMeasurement load;
@@ -22,13 +24,13 @@
     }
 
     boolean isWarmingUp(EndpointRecord endpoint, long nowUs) {
-        return warmUpFraction(endpoint, nowUs) < 1;
+        return warmUpFraction(endpoint, nowUs) < FULLY_WARM;
     }
 
     /** Returns whether this proxy may start an attempt at an endpoint now: always once it is warm. */
     boolean mayStartAttempt(EndpointRecord endpoint, long nowUs) {
         double warmUpFraction = warmUpFraction(endpoint, nowUs);
-        if (warmUpFraction >= 1) {
+        if (warmUpFraction >= FULLY_WARM) {
             return true;
         }
         SafetyLimits limits = settings.safetyLimits();
@@ -36,18 +38,21 @@
         return endpoint.slowStartAllowance().available(budgetPerUs, limits.overloadWindowUs(), nowUs) >= 1;
     }
 
-    /** Returns the part of its capacity that an endpoint is sure to have, up to 1. */
+    /** Returns the part of its capacity that an endpoint is sure to have, up to 1; it grows evenly from its start. */
     private double warmUpFraction(EndpointRecord endpoint, long nowUs) {
         SafetyLimits limits = settings.safetyLimits();
         long startedAtUs = endpoint.listed().startedAtUs();
         if (startedAtUs <= 0 || nowUs - startedAtUs >= limits.slowStartUs()) {
-            return 1;
+            return FULLY_WARM;
         }
         return limits.initialCapacity()
                 + (1 - limits.initialCapacity()) * Math.max(0, nowUs - startedAtUs) / limits.slowStartUs();
     }
 
-    /** Returns an estimate of the capacity: what endpoints of its weight answer to this proxy, or one at a time. */
+    /**
+     * Returns an estimate of the capacity at full warmth that is this proxy's part, in attempts per microsecond: what
+     * endpoints of its weight answer to this proxy, but at least one attempt at a time from all proxies together.
+     */
     private double capacityPerUs(EndpointRecord endpoint) {
         LatencyAverage kind = endpoint.latency().kind();
         double requestUs = kind.samples() > 0
--- a/src/main/java/gaugegw/balancer/TenantQuotas.java
+++ b/src/main/java/gaugegw/balancer/TenantQuotas.java
@@ -5,15 +5,21 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** This proxy's part of the tenants' quotas; requests without a known tenant have no quota to exceed. */
+/**
+ * Separates requests within their tenant's quota from those over it, which get a lower priority weight: a tenant that sends
+ * too much must not take the capacity of the others. Each proxy grants an equal part of the quota, in requests per
+ * microsecond. Requests without a known tenant have no quota to exceed.
+ */
 final class TenantQuotas {
+    private static final double MICROS_PER_SECOND = 1e6;
+
     private final long refreshUs;
     private final Map<String, Quota> byTenant = new HashMap<>();
 
     TenantQuotas(BalancerSettings settings, ControlPeriods periods) {
         refreshUs = periods.refreshUs();
         for (Tenant tenant : settings.tenants()) {
-            double requestsPerUs = tenant.quotaPerSecond() / 1e6 / settings.proxyCount();
+            double requestsPerUs = tenant.quotaPerSecond() / MICROS_PER_SECOND / settings.proxyCount();
             byTenant.put(tenant.name(), new Quota(byTenant.size(), requestsPerUs));
         }
     }
@@ -34,7 +40,7 @@
         return quota != null && !quota.admits(retry, nowUs, refreshUs);
     }
 
-    /** A token bucket that holds up to one refresh period's requests. */
+    /** A tenant's token bucket. It holds up to one refresh period's requests. */
     private static final class Quota {
         private final int number;
         private final double requestsPerUs;
--- a/src/main/java/gaugegw/balancer/package-info.java
+++ b/src/main/java/gaugegw/balancer/package-info.java
@@ -5,12 +5,13 @@
  *
  * <ul>
  *   <li>Endpoints: {@code EndpointMembership} applies the endpoint list, {@code EndpointHealth} judges by the outcomes of
- *       attempts, {@code EndpointWeights} sets the weights, {@code SlowStartBudget} protects what has just started.
+ *       attempts, {@code EndpointWeights} sets the weights, {@code SlowStartBudget} protects what has just started, {@code
+ *       ProxyEndpointOrder} and {@code EndpointSubset} spread the proxies over the endpoints.
  *   <li>Requests: {@code RequestPriority} and {@code TenantQuotas} set the priority, {@code AdmissionQueue} orders the
- *       waiting, {@code ConcurrencyLimiter} bounds the attempts in flight, {@code AdmissionController} starts them at
- *       the endpoint that {@code EarliestDeadlineSelector} selects.
- *   <li>Failures: {@code RetryPolicy} decides on a retry, {@code DuplicateExecutionGuard} where a repeat is harmless,
- *       {@code RejectionPolicy} gives the final answer.
+ *       waiting, {@code CacheAffinity} finds the endpoint with a key cached, {@code ConcurrencyLimiter} bounds the attempts in flight, {@code AdmissionController} starts them at
+ *       the endpoint that {@code EarliestDeadlineSelector} selects by {@code PreferenceTier} and deadline.
+ *   <li>Failures: {@code RetryPolicy} decides on a retry within the {@code RetryBudget}, {@code DuplicateExecutionGuard} where a repeat is harmless,
+ *       {@code RejectionPolicy} gives the final answer, with a {@code RetryAfter}.
  *   <li>Discovery: {@code DiscoveryPolling} and {@code DiscoveryBackoff} decide when to poll the endpoint list.
  * </ul>
  *
