--- a/src/main/java/gaugegw/balancer/SlowStartBudget.java
+++ b/src/main/java/gaugegw/balancer/SlowStartBudget.java
@@ -45,8 +45,8 @@
         if (startedAtUs <= 0 || nowUs - startedAtUs >= limits.slowStartUs()) {
             return FULLY_WARM;
         }
-        return limits.initialCapacity()
-                + (1 - limits.initialCapacity()) * Math.max(0, nowUs - startedAtUs) / limits.slowStartUs();
+        return limits.initialCapacityFraction()
+                + (1 - limits.initialCapacityFraction()) * Math.max(0, nowUs - startedAtUs) / limits.slowStartUs();
     }
 
     /**
--- a/src/main/java/gaugegw/balancer/api/SafetyLimits.java
+++ b/src/main/java/gaugegw/balancer/api/SafetyLimits.java
@@ -3,7 +3,7 @@
 /**
  * The limits that keep endpoints from failing by overload after a start, and the endpoint list from being out of date.
  *
- * @param initialCapacity the part of its capacity, from 0 to 1, that an endpoint has at its start at least
+ * @param initialCapacityFraction the part of its capacity, from 0 to 1, that an endpoint has at its start at least
  * @param slowStartUs time after which it has its full capacity, in microseconds
  * @param overloadMultiple an endpoint that has not reached its full capacity fails when it receives more than this
  *     multiple of its present capacity, from all proxies together
@@ -12,7 +12,7 @@
  * @param rejectedMayHaveExecuted whether an endpoint may answer {@link AttemptOutcome#REJECTED} to work that it had begun
  */
 public record SafetyLimits(
-        double initialCapacity,
+        double initialCapacityFraction,
         long slowStartUs,
         double overloadMultiple,
         long overloadWindowUs,
@@ -24,7 +24,7 @@
      * @throws IllegalArgumentException if one makes no sense; the message names the setting
      */
     public SafetyLimits {
-        BalancerSettings.require(initialCapacity > 0 && initialCapacity <= 1, "cold from");
+        BalancerSettings.require(initialCapacityFraction > 0 && initialCapacityFraction <= 1, "cold from");
         BalancerSettings.require(slowStartUs >= 0, "cold time");
         BalancerSettings.require(overloadMultiple > 0, "fall multiple");
         BalancerSettings.require(overloadWindowUs > 0, "fall time");
--- a/src/test/java/gaugegw/balancer/InvariantChecker.java
+++ b/src/test/java/gaugegw/balancer/InvariantChecker.java
@@ -198,8 +198,10 @@
         long inWindow = attemptTimesUs.stream()
                 .filter(timeUs -> timeUs > nowUs - safetyLimits.overloadWindowUs())
                 .count();
-        double capacity = safetyLimits.initialCapacity()
-                + (1 - safetyLimits.initialCapacity()) * (nowUs - endpoint.startedAtUs()) / safetyLimits.slowStartUs();
+        double capacity = safetyLimits.initialCapacityFraction()
+                + (1 - safetyLimits.initialCapacityFraction())
+                        * (nowUs - endpoint.startedAtUs())
+                        / safetyLimits.slowStartUs();
         double budget = safetyLimits.overloadMultiple()
                 * capacity
                 * MAX_ANSWERS_PER_SECOND
--- a/src/test/java/gaugegw/balancer/LoadBalancerApiTest.java
+++ b/src/test/java/gaugegw/balancer/LoadBalancerApiTest.java
@@ -47,7 +47,8 @@
         assertInvalidSetting(() -> minimalSettings().proxy(0, 0).build(), "balancers");
         assertInvalidSetting(() -> minimalSettings().requestClasses(List.of()).build(), "classes");
         assertInvalidSetting(() -> minimalSettings().limits(null).build(), "limits");
-        assertInvalidSetting(() -> minimalSafetyLimits().initialCapacity(0).build(), "cold from");
+        assertInvalidSetting(
+                () -> minimalSafetyLimits().initialCapacityFraction(0).build(), "cold from");
     }
 
     private static void assertInvalidSetting(ThrowingCallable build, String setting) {
--- a/src/test/java/gaugegw/balancer/RandomEventSimulation.java
+++ b/src/test/java/gaugegw/balancer/RandomEventSimulation.java
@@ -132,7 +132,7 @@
 
     private SafetyLimits randomSafetyLimits() {
         return TestSettings.safetyLimits()
-                .initialCapacity(0.3)
+                .initialCapacityFraction(0.3)
                 .slowStartUs(8_000_000)
                 .overloadMultiple(3)
                 .overloadWindowUs(1_000_000 + random.nextInt(2_000_000))
--- a/src/test/java/gaugegw/balancer/SlowStartFleet.java
+++ b/src/test/java/gaugegw/balancer/SlowStartFleet.java
@@ -194,8 +194,8 @@
     }
 
     private static double capacityAfter(long upUs) {
-        return SAFETY_LIMITS.initialCapacity()
-                + (1 - SAFETY_LIMITS.initialCapacity()) * upUs / SAFETY_LIMITS.slowStartUs();
+        return SAFETY_LIMITS.initialCapacityFraction()
+                + (1 - SAFETY_LIMITS.initialCapacityFraction()) * upUs / SAFETY_LIMITS.slowStartUs();
     }
 
     /** Returns how many attempts within the overload window an endpoint can take now. */
--- a/src/test/java/gaugegw/balancer/testing/SafetyLimitsBuilder.java
+++ b/src/test/java/gaugegw/balancer/testing/SafetyLimitsBuilder.java
@@ -4,7 +4,7 @@
 
 /** Builds safety limits from these defaults: slow start from 40% over 8 s, overload at four times for 1 s. */
 public final class SafetyLimitsBuilder {
-    private double initialCapacity = 0.4;
+    private double initialCapacityFraction = 0.4;
     private long slowStartUs = 8 * TestSettings.SECONDS;
     private double overloadMultiple = 4;
     private long overloadWindowUs = TestSettings.SECONDS;
@@ -13,8 +13,8 @@
 
     SafetyLimitsBuilder() {}
 
-    public SafetyLimitsBuilder initialCapacity(double value) {
-        initialCapacity = value;
+    public SafetyLimitsBuilder initialCapacityFraction(double value) {
+        initialCapacityFraction = value;
         return this;
     }
 
@@ -45,7 +45,7 @@
 
     public SafetyLimits build() {
         return new SafetyLimits(
-                initialCapacity,
+                initialCapacityFraction,
                 slowStartUs,
                 overloadMultiple,
                 overloadWindowUs,
--- a/src/test/java/gaugegw/simulator/SimulatorHostTest.java
+++ b/src/test/java/gaugegw/simulator/SimulatorHostTest.java
@@ -112,7 +112,7 @@
                                 .connectTimeoutUs(150000)
                                 .build())
                         .safetyLimits(safetyLimits()
-                                .initialCapacity(0.4)
+                                .initialCapacityFraction(0.4)
                                 .slowStartUs(8100000)
                                 .overloadMultiple(4)
                                 .overloadWindowUs(1000000)
