--- a/src/main/java/gaugegw/proxy/transport/ConnectionLimiter.java
+++ b/src/main/java/gaugegw/proxy/transport/ConnectionLimiter.java
@@ -10,12 +10,14 @@
  * closed with their responses and idle ones are evicted. While nothing can be evicted no client is accepted, and new
  * ones wait in the listener's backlog.
  *
- * <p>All methods but {@link #listener} are called on the event loop. Connections are counted from their opening until
+ * <p>All methods but {@link #setListener} are called on the event loop. Connections are counted from their opening until
  * their descriptors are released; each reports here whether it is busy, and so whether it may be evicted.
  */
 public final class ConnectionLimiter {
     /** Time in which the first request of a new connection arrives: one evicted sooner would fail that request. */
     private static final long FIRST_REQUEST_GRACE_NS = TimeUnit.MILLISECONDS.toNanos(20);
+    /** Above this part of the clients' share of the budget, their connections are closed with their responses. */
+    private static final int NEAR_CLIENT_LIMIT_PERCENT = 75;
 
     private final EventLoop loop;
     private final DescriptorBudget budget;
@@ -44,7 +46,7 @@
     }
 
     /** Sets the listening channel, which accepts only while there is room for all that it may accept in one turn. */
-    public void listener(Channel channel) {
+    public void setListener(Channel channel) {
         listener = channel;
     }
 
@@ -83,11 +85,11 @@
      * a close with a response never crosses the client's next request.
      */
     public boolean nearClientLimit() {
-        return clients > budget.maxClients() * 3 / 4;
+        return clients > budget.maxClients() * NEAR_CLIENT_LIMIT_PERCENT / 100;
     }
 
-    /** Returns whether one more connection to a backend may be opened; evicts an idle connection where that helps. */
-    public boolean admitsBackend() {
+    /** Makes room for one more connection to a backend, by an eviction if need be; returns whether one may be opened. */
+    public boolean tryAdmitBackend() {
         assert loop.inEventLoop();
         // The descriptor of an evicted connection is still held while the new one is opened.
         return open() < budget.maxOpen()
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
@@ -21,6 +21,12 @@
  * never retries: each attempt is one that the caller has started. All methods are called on the event loop.
  */
 public final class UpstreamClient {
+    /**
+     * The part of a backend's idle time-out after which this side closes a connection. Well below all of it, as a request
+     * that crosses the backend's close is reset and may have been executed.
+     */
+    private static final int IDLE_TIMEOUT_PERCENT = 60;
+
     private final UpstreamContext context;
     /** By endpoint id. An endpoint that is no longer ready stays until its attempts have ended. */
     private final Map<String, UpstreamEndpoint> endpoints = new HashMap<>();
@@ -37,8 +43,7 @@
             ConnectionLimiter limiter,
             long backendIdleTimeoutUs,
             long connectTimeoutUs) {
-        // Well before the backend does: a request that crosses the backend's close is reset and may have been executed.
-        long idleTimeoutUs = backendIdleTimeoutUs * 3 / 5;
+        long idleTimeoutUs = backendIdleTimeoutUs * IDLE_TIMEOUT_PERCENT / 100;
         int connectTimeoutMs = (int) Math.max(1, TimeUnit.MICROSECONDS.toMillis(connectTimeoutUs));
         Bootstrap bootstrap = transport.client().clone().option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs);
         context = new UpstreamContext(clock, transport, limiter, bootstrap, idleTimeoutUs, new LearnedIdleLimit());
@@ -52,8 +57,9 @@
     /**
      * Applies an update of the endpoint list. Idle connections to endpoints that are no longer ready are closed.
      *
-     * @return the attempts of such endpoints whose request has not been written completely. The caller aborts them: no
-     *     attempt may begin on a draining endpoint later than the grace period
+     * @param kind what the entries are; never {@link UpdateKind#POLL_FAILED}, whose empty list would remove all endpoints
+     * @return the attempts of such endpoints whose request has not been written completely. The caller aborts them, or
+     *     they would begin at a backend that is to complete its work only
      */
     public List<UpstreamAttempt> applyUpdate(UpdateKind kind, List<ListedEndpoint> listed) {
         assert context.loop().inEventLoop();
@@ -77,7 +83,8 @@
         }
         if (known != null) {
             known.setReady(false);
-            unwritten.addAll(known.stop());
+            known.pool().closeIdle();
+            unwritten.addAll(known.unwrittenAttempts());
         }
         var added = new UpstreamEndpoint(context, entry.address());
         endpoints.put(id, added);
@@ -100,7 +107,8 @@
             if (endpoint.isReady()) {
                 return false;
             }
-            unwritten.addAll(endpoint.stop());
+            endpoint.pool().closeIdle();
+            unwritten.addAll(endpoint.unwrittenAttempts());
             return !endpoint.hasAttempts();
         });
     }
@@ -134,7 +142,7 @@
         if (endpoint == null || !endpoint.isReady()) {
             return null;
         }
-        if (!endpoint.pool().reserveIdle() && !context.limiter().admitsBackend()) {
+        if (!endpoint.pool().reserveIdle() && !context.limiter().tryAdmitBackend()) {
             return null;
         }
         return new UpstreamAttempt(context, endpoint, request, timeoutUs, beforeWrite, listener);
