--- a/src/main/java/gaugegw/balancer/AdmissionController.java
+++ b/src/main/java/gaugegw/balancer/AdmissionController.java
@@ -112,7 +112,10 @@
         }
     }
 
-    /** Sets a timer unless an early enough one is set, so that no queued request passes its deadline without a final answer. */
+    /**
+     * Sets a timer unless an early enough one is set, so that no queued request passes its deadline without a final
+     * answer.
+     */
     private void scheduleWakeUp(long nowUs, Consumer<Action> actions) {
         long nextGiveUpAtUs = queue.nextGiveUpAtUs();
         if (queue.size() > 0 && (nowUs >= wakeUpAtUs || nextGiveUpAtUs < wakeUpAtUs)) {
--- a/src/main/java/gaugegw/balancer/AdmissionQueue.java
+++ b/src/main/java/gaugegw/balancer/AdmissionQueue.java
@@ -31,6 +31,7 @@
         this.affinity = affinity;
     }
 
+    /** Queues a request behind those that outrank it or equal it. */
     void add(PendingRequest request) {
         long giveUpAtUs = Math.min(
                 request.objectiveAtUs() - giveUpBeforeObjectiveUs, request.deadlineAtUs() - giveUpBeforeDeadlineUs);
@@ -63,6 +64,6 @@
 
     /** Returns when the first request is given up; {@link Long#MAX_VALUE} if there is none. */
     long nextGiveUpAtUs() {
-        return requests.stream().mapToLong(r -> r.giveUpAtUs()).min().orElse(Long.MAX_VALUE);
+        return requests.stream().mapToLong(PendingRequest::giveUpAtUs).min().orElse(Long.MAX_VALUE);
     }
 }
--- a/src/main/java/gaugegw/balancer/CacheAffinity.java
+++ b/src/main/java/gaugegw/balancer/CacheAffinity.java
@@ -3,8 +3,8 @@
 import java.util.Comparator;
 
 /**
- * Finds the endpoint that likely has the data of an affinity key cached, by rendezvous hashing: all proxies find the same
- * one without messages, and a change of the endpoint list moves only the keys of the endpoints that come or go.
+ * Finds the endpoint that likely has the data of an affinity key cached, by rendezvous hashing: all proxies find the
+ * same one without messages, and a change of the endpoint list moves only the keys of the endpoints that come or go.
  */
 final class CacheAffinity {
     private final EndpointMembership membership;
--- a/src/main/java/gaugegw/balancer/ConcurrencyLimiter.java
+++ b/src/main/java/gaugegw/balancer/ConcurrencyLimiter.java
@@ -4,16 +4,17 @@
 import java.util.Set;
 
 /**
- * Limits the attempts in flight, by the rate of answers and the latency budget, so that requests queue at the proxy, which orders them by priority. The limit is
- * fractional, as one of hundreds of proxies may have less than one attempt in flight in the mean of time: its whole
- * part may always be used, the rest as the limit was left unused before.
+ * Limits the attempts in flight, by the rate of answers and the latency budget, so that requests queue at the proxy,
+ * which orders them by priority. The limit is fractional, as one of hundreds of proxies may have less than one attempt
+ * in flight in the mean of time: its whole part may always be used, the rest as the limit was left unused before.
  */
 final class ConcurrencyLimiter {
     /** Attempts in flight may take this multiple of the unloaded latency at least, or endpoints would go idle. */
     private static final double LATENCY_HEADROOM = 1.2;
     /**
      * Attempts in flight at each endpoint, from all proxies together, that the limit always allows, or the endpoint
-     * would be idle between an answer and the next attempt. Where a proxy's part is less than one, it holds in the mean.
+     * would be idle between an answer and the next attempt. Where a proxy's part is less than one, it holds in the
+     * mean.
      */
     private static final double MIN_ATTEMPTS_PER_ENDPOINT = 3;
     /** An attempt in flight for this many times the mean latency hangs, or is one of a few of large cost. */
--- a/src/main/java/gaugegw/balancer/DiscoveryBackoff.java
+++ b/src/main/java/gaugegw/balancer/DiscoveryBackoff.java
@@ -3,9 +3,9 @@
 import java.util.Random;
 
 /**
- * The delays between failed calls to discovery: exponential, with jitter, and capped so that a change is in force in time.
- * The longest way to a list: a call that began just before discovery could be reached times out, a delay, a call that
- * times out too, a delay, and a call that is answered at the last moment.
+ * The delays between failed calls to discovery: exponential, with jitter, and capped so that a change is in force in
+ * time. The longest way to a list: a call that began just before discovery could be reached times out, a delay, a call
+ * that times out too, a delay, and a call that is answered at the last moment.
  */
 public final class DiscoveryBackoff {
     /** A change must be in force so long after discovery had it and could be reached, in microseconds. */
--- a/src/main/java/gaugegw/balancer/EarliestDeadlineSelector.java
+++ b/src/main/java/gaugegw/balancer/EarliestDeadlineSelector.java
@@ -1,9 +1,10 @@
 package gaugegw.balancer;
 
 /**
- * Selects the endpoint of an attempt: of the eligible ones that of the best {@link PreferenceTier}, then of the earliest deadline
- * (virtual time + 1) / weight, then the first listed. An endpoint is eligible if a repeat there is harmless, and if it
- * is in this proxy's subset, below its share of the attempts in flight and within its slow-start budget.
+ * Selects the endpoint of an attempt: of the eligible ones that of the best {@link PreferenceTier}, then of the
+ * earliest deadline (virtual time + 1) / weight, then the first listed. An endpoint is eligible if a repeat there is
+ * harmless, and if it is in this proxy's {@link EndpointSubset}, below its share of the attempts in flight and within
+ * its {@link SlowStartBudget}.
  */
 final class EarliestDeadlineSelector {
     /** An endpoint in the proxy's own zone counts as this many times its weight. */
@@ -70,13 +71,13 @@
         return isAcceptable(bestCondition, permitted, unhealthy, failing) ? best : null;
     }
 
-    private static boolean precedes(
-            PreferenceTier tier, double deadline, PreferenceTier otherTier, double otherDeadline) {
-        if (tier == otherTier) {
-            return deadline < otherDeadline;
+    /** Returns whether an endpoint is preferred to the best so far: by its tier, then by its deadline. */
+    private static boolean precedes(PreferenceTier tier, double deadline, PreferenceTier bestTier, double earliest) {
+        if (tier == bestTier) {
+            return deadline < earliest;
         }
         // Without a positive weight, or with one that is not a number, an endpoint has no deadline.
-        return tier.isPreferredTo(otherTier) && Double.isFinite(deadline);
+        return tier.isPreferredTo(bestTier) && Double.isFinite(deadline);
     }
 
     /** Returns (virtual time + 1) / weight, without a unit: the virtual time by which the next attempt is due. */
--- a/src/main/java/gaugegw/balancer/EndpointSubset.java
+++ b/src/main/java/gaugegw/balancer/EndpointSubset.java
@@ -1,11 +1,11 @@
 package gaugegw.balancer;
 
 /**
- * The subset of the endpoints that this proxy uses. Where many proxies share few endpoints, a proxy has too few attempts
- * to notice a fault or to keep the deadline order at all of them; with a subset each it has more attempts at fewer
- * endpoints. The subset is the first healthy ones of the proxy's order, see {@link ProxyEndpointOrder}, so that each
- * endpoint is in the subsets of about as many proxies. It only limits the healthy endpoints: an unhealthy one takes no
- * place, and the next one of the order moves up.
+ * The subset of the endpoints that this proxy uses. Where many proxies share few endpoints, a proxy has too few
+ * attempts to notice a fault or to keep the deadline order at all of them; with a subset each it has more attempts at
+ * fewer endpoints. The subset is the first healthy ones of the proxy's order, see {@link ProxyEndpointOrder}, so that
+ * each endpoint is in the subsets of about as many proxies. It only limits the healthy endpoints: an unhealthy one
+ * takes no place, and the next one of the order moves up.
  */
 final class EndpointSubset {
     /** So many proxies share an endpoint, if there are as many. */
--- a/src/main/java/gaugegw/balancer/EndpointWeights.java
+++ b/src/main/java/gaugegw/balancer/EndpointWeights.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * Sets the weights of the ready endpoints: w = c / sum of c, with c = 1 / expected latency, so that faster endpoints get
- * more attempts. The weights hold for a refresh period or until the endpoint list changes. With each refresh the deadline
- * order starts afresh, as virtual times that grew by different weights cannot be compared.
+ * Sets the weights of the ready endpoints: w = c / sum of c, with c = 1 / expected latency, so that faster endpoints
+ * get more attempts. The weights hold for a refresh period or until the endpoint list changes. With each refresh the
+ * deadline order starts afresh, as virtual times that grew by different weights cannot be compared.
  */
 final class EndpointWeights {
     /** No endpoint's c is less than this part of the largest, or it would get too few attempts to show a recovery. */
@@ -26,6 +26,7 @@
         }
     }
 
+    /** Sets the weights and puts the endpoints in order; called when the endpoint list has changed, too. */
     void refresh(long nowUs) {
         dueAtUs = nowUs + periodUs;
         List<EndpointRecord> endpoints = membership.ready();
@@ -34,8 +35,8 @@
                 e.latency().kind().samples() > 0
                         ? 1 / e.latency().expectedUs()
                         : e.listed().weight() * scale));
-        double floor =
-                FLOOR * endpoints.stream().mapToDouble(e -> e.weight()).max().orElse(1);
+        double floor = FLOOR
+                * endpoints.stream().mapToDouble(EndpointRecord::weight).max().orElse(1);
         double sum =
                 endpoints.stream().mapToDouble(e -> Math.max(e.weight(), floor)).sum();
         for (EndpointRecord endpoint : endpoints) {
--- a/src/main/java/gaugegw/balancer/HashMixer.java
+++ b/src/main/java/gaugegw/balancer/HashMixer.java
@@ -1,8 +1,8 @@
 package gaugegw.balancer;
 
 /**
- * Spreads the bits of a hash code, as those of {@link String#hashCode} differ little between similar ids. Every proxy gets
- * the same value for the same input.
+ * Spreads the bits of a hash code, as those of {@link String#hashCode} differ little between similar ids. Every proxy
+ * gets the same value for the same input.
  */
 final class HashMixer {
     /** 2^32 divided by the golden ratio, the multiplier of Fibonacci hashing. */
--- a/src/main/java/gaugegw/balancer/OutcomeRates.java
+++ b/src/main/java/gaugegw/balancer/OutcomeRates.java
@@ -3,8 +3,8 @@
 import gaugegw.balancer.api.AttemptOutcome;
 
 /**
- * The shares, from 0 to 1, of errors and time-outs in the attempts and of rejections in the requests. They are exponential
- * averages over {@link ControlPeriods#OUTCOME_ATTEMPTS} and {@link ControlPeriods#OUTCOME_REQUESTS}.
+ * The shares, from 0 to 1, of errors and time-outs in the attempts and of rejections in the requests. They are
+ * exponential averages over {@link ControlPeriods#OUTCOME_ATTEMPTS} and {@link ControlPeriods#OUTCOME_REQUESTS}.
  */
 final class OutcomeRates {
     private double errorShare;
--- a/src/main/java/gaugegw/balancer/ProxyEndpointOrder.java
+++ b/src/main/java/gaugegw/balancer/ProxyEndpointOrder.java
@@ -5,10 +5,10 @@
 import java.util.List;
 
 /**
- * The order in which one proxy lists the endpoints. The order decides between equal deadlines, and which endpoints are in
- * the proxy's subset. If all proxies used the same one, all would open on the same endpoint. Therefore as many proxies as
- * there are endpoints start at evenly spaced positions, by weight, along one shuffled list, and the next as many along
- * another: no two proxies prefer the same endpoint and then the same next one.
+ * The order in which one proxy lists the endpoints. The order decides between equal deadlines, and which endpoints are
+ * in the proxy's subset. If all proxies used the same one, all would open on the same endpoint. Therefore as many
+ * proxies as there are endpoints start at evenly spaced positions, by weight, along one shuffled list, and the next as
+ * many along another: no two proxies prefer the same endpoint and then the same next one.
  */
 final class ProxyEndpointOrder {
     /** For rounding, where a proxy's start falls on the boundary between two endpoints. */
--- a/src/main/java/gaugegw/balancer/RequestFlows.java
+++ b/src/main/java/gaugegw/balancer/RequestFlows.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * The request classes by name, and the numbering of the flows. A flow is the requests of one class and tenant, or of one
- * class without a known tenant. Health is kept by flow, as an endpoint may fail the requests of some flows only.
+ * The request classes by name, and the numbering of the flows. A flow is the requests of one class and tenant, or of
+ * one class without a known tenant. Health is kept by flow, as an endpoint may fail the requests of some flows only.
  */
 final class RequestFlows {
     private final List<RequestClass> classes;
--- a/src/main/java/gaugegw/balancer/RequestPriority.java
+++ b/src/main/java/gaugegw/balancer/RequestPriority.java
@@ -7,8 +7,9 @@
 import java.util.Map;
 
 /**
- * Sets the priority weight of a request, its objective and its deadline. The weight is that of its class, times a fraction
- * if the tenant is over quota and times another if the objective has passed already, as a late answer is of less value.
+ * Sets the priority weight of a request, its objective and its deadline. The weight is that of its class, times a
+ * fraction if the tenant is over quota and times another if the objective has passed already, as a late answer is of
+ * less value.
  */
 final class RequestPriority {
     private final BalancerSettings settings;
--- a/src/main/java/gaugegw/balancer/RetryAfter.java
+++ b/src/main/java/gaugegw/balancer/RetryAfter.java
@@ -1,8 +1,8 @@
 package gaugegw.balancer;
 
 /**
- * Computes the Retry-After of a rejection: the time until the requests that are queued now have been answered, as a retry
- * before that would only be rejected again.
+ * Computes the Retry-After of a rejection: the time until the requests that are queued now have been answered, as a
+ * retry before that would only be rejected again.
  */
 final class RetryAfter {
     /** Clients are spread over this part of the Retry-After, so that they do not retry at the same moment. */
--- a/src/main/java/gaugegw/balancer/TenantQuotas.java
+++ b/src/main/java/gaugegw/balancer/TenantQuotas.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * Separates requests within their tenant's quota from those over it, which get a lower priority weight: a tenant that sends
- * too much must not take the capacity of the others. Each proxy grants an equal part of the quota, in requests per
- * microsecond. Requests without a known tenant have no quota to exceed.
+ * Separates requests within their tenant's quota from those over it, which get a lower priority weight: a tenant that
+ * sends too much must not take the capacity of the others. Each proxy grants an equal part of the quota, in requests
+ * per microsecond. Requests without a known tenant have no quota to exceed.
  */
 final class TenantQuotas {
     private static final double MICROS_PER_SECOND = 1e6;
