--- a/src/main/java/gaugegw/balancer/AdmissionQueue.java
+++ b/src/main/java/gaugegw/balancer/AdmissionQueue.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The requests that wait for an attempt, those of the highest priority weight first, then the earliest objective. */
+/**
+ * The requests that wait for an attempt, in order: the highest priority weight first, then the earliest objective. Sets
+ * when each is given up, which is early enough that the final answer is of use to the client.
+ */
 final class AdmissionQueue {
     /** A request is given up so many latency budgets before its objective: an attempt would be answered too late. */
     private static final int GIVE_UP_LATENCY_BUDGETS = 2;
@@ -28,6 +31,7 @@
         this.affinity = affinity;
     }
 
+    /** Queues a request behind those that outrank it or equal it. */
     void add(PendingRequest request) {
         long giveUpAtUs = Math.min(
                 request.objectiveAtUs() - giveUpBeforeObjectiveUs, request.deadlineAtUs() - giveUpBeforeDeadlineUs);
@@ -60,6 +64,6 @@
 
     /** Returns when the first request is given up; {@link Long#MAX_VALUE} if there is none. */
     long nextGiveUpAtUs() {
-        return requests.stream().mapToLong(r -> r.giveUpAtUs()).min().orElse(Long.MAX_VALUE);
+        return requests.stream().mapToLong(PendingRequest::giveUpAtUs).min().orElse(Long.MAX_VALUE);
     }
 }
