--- a/src/main/java/gaugegw/proxy/client/Frontend.java
+++ b/src/main/java/gaugegw/proxy/client/Frontend.java
@@ -81,7 +81,7 @@
         context.drainState().reportNotReady();
     }
 
-    /** Stops accepting connections. */
+    /** Stops accepting connections; those in the kernel's backlog are reset. */
     public void stopListening() {
         if (listener != null) {
             listener.close();
@@ -98,7 +98,10 @@
         context.connections().closeIdle();
     }
 
-    /** Returns the number of connections on which a client may send, wait for a response or read one. */
+    /**
+     * Returns the number of connections on which a client may send, wait for a response or read one. On any other thread
+     * than the event loop the number may be out of date.
+     */
     public int connectedClients() {
         return context.connections().activeCount();
     }
--- a/src/main/java/gaugegw/proxy/config/ProxyConfig.java
+++ b/src/main/java/gaugegw/proxy/config/ProxyConfig.java
@@ -58,8 +58,8 @@
     }
 
     /**
-     * Returns whether this is the proxy's first start, as far as can be known: it has no endpoint list that discovery
-     * has ever changed. A restarted proxy already has clients that wait for it, so that it skips optional steps of its start.
+     * Returns whether this is the proxy's first start, as far as can be known: it has no cached endpoint list, or one of
+     * version 0, which discovery has never changed. A restarted proxy already has clients that wait for it, so that it skips optional steps of its start.
      */
     public boolean isFirstStart() {
         return cachedEndpoints.path("version").asLong() == 0;
--- a/src/main/java/gaugegw/proxy/dispatch/AttemptStarter.java
+++ b/src/main/java/gaugegw/proxy/dispatch/AttemptStarter.java
@@ -30,6 +30,7 @@
         this.upstream = upstream;
     }
 
+    /** Starts an attempt, or reports at once that it could not begin; does nothing for a request that is not known. */
     void start(Action.StartAttempt action) {
         DispatchedRequest request = requests.find(action.requestId());
         if (request == null) {
@@ -66,7 +67,10 @@
                         attemptEnded(request, number, action.endpointId(), outcome, latencyUs, response)));
     }
 
-    /** Returns the time-out of an attempt that begins now, in microseconds: never beyond the request's deadline. */
+    /**
+     * Returns the time-out of an attempt that begins now, in microseconds: never beyond the request's deadline, and up to
+     * it where the action has 0. Not above 0 once the deadline has passed.
+     */
     private long timeoutUs(DispatchedRequest request, Action.StartAttempt action) {
         long remainingUs = request.deadlineAtUs() - clock.now();
         return action.timeoutUs() == 0 ? remainingUs : Math.min(action.timeoutUs(), remainingUs);
--- a/src/main/java/gaugegw/proxy/dispatch/DispatchedRequest.java
+++ b/src/main/java/gaugegw/proxy/dispatch/DispatchedRequest.java
@@ -19,7 +19,7 @@
         /** The response has been handed to the {@link ResponseSink}. */
         ANSWERED,
         /** The client has closed its connection, and no response is sent. */
-        CLIENT_GONE
+        CLIENT_DISCONNECTED
     }
 
     private final ClientRequest clientRequest;
@@ -86,7 +86,7 @@
 
     /** Ends the request without a response. */
     void clientDisconnected() {
-        end(State.CLIENT_GONE);
+        end(State.CLIENT_DISCONNECTED);
     }
 
     private void end(State ended) {
--- a/src/main/java/gaugegw/proxy/dispatch/RequestDispatcher.java
+++ b/src/main/java/gaugegw/proxy/dispatch/RequestDispatcher.java
@@ -71,7 +71,7 @@
         return requests.contains(id);
     }
 
-    /** Takes a request over; the sink is called once, now or later. */
+    /** Takes a request over; the sink is called now or later, unless the client disconnects before. */
     public void requestArrived(ClientRequest clientRequest, ResponseSink responseSink) {
         assert loop.inEventLoop();
         long now = clock.now();
@@ -132,7 +132,10 @@
         }
     }
 
-    /** Nothing more is owed to a client: an attempt that has not been written completely is not written at all. */
+    /**
+     * Nothing more is owed to a client: an attempt that has not been written completely is not written at all. One that has
+     * been written ends only if the load balancer cancels it, which the settings may forbid.
+     */
     private void abandon(DispatchedRequest request) {
         events.deliver(new Event.ClientDisconnected(request.id()));
         for (UpstreamAttempt attempt : request.attempts()) {
--- a/src/main/java/gaugegw/proxy/dispatch/ResponseSink.java
+++ b/src/main/java/gaugegw/proxy/dispatch/ResponseSink.java
@@ -3,8 +3,9 @@
 import gaugegw.proxy.upstream.UpstreamResponse;
 
 /**
- * The client's side of a request. Exactly one of {@link #served}, {@link #rejected} and {@link #failed} is called, once;
- * all calls are made on the event loop.
+ * The client's side of a request. Exactly one of {@link #served}, {@link #rejected} and {@link #failed} is called, once, or
+ * none where the client has disconnected before; {@link #failed} also follows on one that threw. All calls are made on the
+ * event loop.
  */
 public interface ResponseSink {
     /**
--- a/src/main/java/gaugegw/proxy/lifecycle/DrainSchedule.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/DrainSchedule.java
@@ -31,7 +31,7 @@
 
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** Returns the schedule under which every request in flight has its deadline's time for a response. */
+    /** Returns the schedule under which every request in flight has its deadline's time for a response, or the longest that counts. */
     static DrainSchedule of(BalancerSettings settings) {
         long deadlineMs = Math.min(MAX_DEADLINE_MS, longestDeadlineMs(settings));
         long exitMs = deadlineMs + EXIT_DELAY_MS;
--- a/src/main/java/gaugegw/settings/SettingsTree.java
+++ b/src/main/java/gaugegw/settings/SettingsTree.java
@@ -65,7 +65,7 @@
         return (long) value;
     }
 
-    /** As {@link #longValue}, of which the low 32 bits count. */
+    /** As {@link #longValue}. A number beyond 32 bits is not refused: only its low 32 bits are returned. */
     public int intValue(String path) {
         return (int) longValue(path);
     }
--- a/src/main/java/gaugegw/simulator/ActionEncoder.java
+++ b/src/main/java/gaugegw/simulator/ActionEncoder.java
@@ -34,7 +34,8 @@
         } else if (action instanceof Action.FetchEndpoints) {
             message(WireNames.FETCH_ENDPOINTS, instance);
         } else if (action instanceof Action.CheckHealth check) {
-            // The load balancer emits neither this action nor the next; they exist because the wire has them.
+            // The load balancer emits neither this action nor FetchEndpoints and LogMessage; they exist because the
+            // wire has them.
             message(WireNames.CHECK_HEALTH, instance).field(WireNames.ENDPOINT_ID, check.endpointId());
         } else if (action instanceof Action.LogMessage log) {
             message(WireNames.LOG_MESSAGE, instance).field(WireNames.TEXT, onOneLine(log.text()));
