--- a/src/main/java/gaugegw/balancer/AdmissionController.java
+++ b/src/main/java/gaugegw/balancer/AdmissionController.java
@@ -93,7 +93,10 @@
         actions.accept(new Action.StartAttempt(request.id(), endpoint.id(), attempt.timeoutUs()));
     }
 
-    /** Returns the time-out of an attempt that starts now, in microseconds: never past the deadline. */
+    /**
+     * Returns the time-out of an attempt that starts now, in microseconds: never past the deadline. An attempt that times
+     * out does so at or after the objective, and so {@link RetryPolicy} does not retry it.
+     */
     private static long timeoutUs(PendingRequest request, long nowUs) {
         long toObjectiveUs = request.objectiveAtUs() - nowUs;
         long byObjectiveUs = toObjectiveUs > 0 ? (long) (TIMEOUT_OBJECTIVES * toObjectiveUs) : Long.MAX_VALUE;
--- a/src/main/java/gaugegw/balancer/EarliestDeadlineSelector.java
+++ b/src/main/java/gaugegw/balancer/EarliestDeadlineSelector.java
@@ -5,6 +5,9 @@
  * earliest deadline (virtual time + 1) / weight, then the first listed. An endpoint is eligible if a repeat there is
  * harmless, and if it is in this proxy's {@link EndpointSubset}, below its share of the attempts in flight and within
  * its {@link SlowStartBudget}.
+ *
+ * <p>This deadline is a point of an endpoint's virtual time, in attempts over weight: it has nothing to do with the
+ * deadline of a request.
  */
 final class EarliestDeadlineSelector {
     /** An endpoint in the proxy's own zone counts as this many times its weight. */
--- a/src/main/java/gaugegw/balancer/HealthTracker.java
+++ b/src/main/java/gaugegw/balancer/HealthTracker.java
@@ -45,7 +45,13 @@
         lastHeardAtUs = heard ? nowUs : lastHeardAtUs;
     }
 
-    /** Where errors are common at all endpoints, only two in a row count as a failure. */
+    /**
+     * Takes the result of an attempt. A success shortens the backoff and anything else lengthens it, a time-out and a
+     * rejection included; but where errors are common at all endpoints, only the second error in a row does.
+     *
+     * @param error whether it was an error of the endpoint or the connection, as counted by {@link OutcomeRates}
+     * @param backoffPeriodUs the backoff after a first failure, in microseconds
+     */
     void recordResult(boolean success, boolean error, boolean errorsAreCommon, long nowUs, long backoffPeriodUs) {
         boolean isolatedError = error && !lastWasError && !backoff.hasRecentFailure();
         lastWasError = error;
--- a/src/main/java/gaugegw/balancer/RetryPolicy.java
+++ b/src/main/java/gaugegw/balancer/RetryPolicy.java
@@ -2,7 +2,8 @@
 
 /**
  * Decides whether a request whose attempts have all failed is attempted again: before its latency objective passes,
- * within the limit of attempts and the {@link RetryBudget}, and where {@link DuplicateExecutionGuard} permits a repeat.
+ * within the limit of attempts and the {@link RetryBudget}, and where {@link DuplicateExecutionGuard} permits a repeat. An
+ * attempt that has timed out is not retried: its time-out, set by {@link AdmissionController}, lies past the objective.
  */
 final class RetryPolicy {
     private final int maxAttempts;
--- a/src/main/java/gaugegw/balancer/SlowStartAllowance.java
+++ b/src/main/java/gaugegw/balancer/SlowStartAllowance.java
@@ -25,10 +25,16 @@
     }
 
     /**
-     * Grants what is due and returns how many whole attempts may start now. Of a large budget, what is not used expires
-     * after a third of the window, so that no window holds more than the budget; of a small one after a window, or
-     * proxies with little traffic would seldom use any. Then a window holds up to one and a half times the budget.
-     * This proxy's budget is in attempts per microsecond, the window is that of {@link SlowStartBudget}.
+     * Grants what is due and returns how many whole attempts may start now.
+     *
+     * <p>A window's budget is granted evenly, all but {@link #BURST_SHARE} of it. Of a large budget, grants of a third of a
+     * window can be saved, which is that share: used at once, they and what is granted in the window are the whole
+     * budget. Of a small one (under a third of an attempt a window), a whole window's grants can be saved, or proxies with
+     * little traffic would seldom reach one attempt. Two windows' grants, one and a half times the budget, may then be used
+     * in one window; the safety margin of {@link SlowStartBudget} allows for that.
+     *
+     * @param budgetPerUs this proxy's part of the budget, in attempts per microsecond
+     * @param windowUs the time over which overload is counted, in microseconds
      */
     double available(double budgetPerUs, long windowUs, long nowUs) {
         granted += (1 - BURST_SHARE) * budgetPerUs * (nowUs - grantedAtUs);
