--- a/src/main/java/gaugegw/balancer/LoadMeasurement.java
+++ b/src/main/java/gaugegw/balancer/LoadMeasurement.java
@@ -65,7 +65,7 @@
         return answersPerUs * Math.exp((answeredAtUs - nowUs) / (double) periodUs);
     }
 
-    /** Returns the least mean latency so far, in microseconds; 0 until measured. */
+    /** Returns the least mean latency so far, in microseconds; 0 before the first sample. */
     double unloadedLatencyUs() {
         return unloadedLatencyUs;
     }
