--- a/src/main/java/gaugegw/proxy/client/ClientConnection.java
+++ b/src/main/java/gaugegw/proxy/client/ClientConnection.java
@@ -21,13 +21,16 @@
  * the others. Used on the event loop only.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-    /** A connection without a request is closed after this time, in microseconds. */
+    /** A connection without a request is closed after this time, in microseconds: clients may rely on 2 s. */
     private static final long IDLE_TIMEOUT_US = 2_200_000;
-    /** Time for a request to be received completely, from its first byte or, for the first one, from the connect. */
+    /**
+     * Time for a request to be received completely, in microseconds, from its first byte or, for the first one, from the
+     * connect: a client that sends no valid request is owed an error or a close within 3 s.
+     */
     private static final long REQUEST_TIMEOUT_US = 2_200_000;
-    /** A client that reads nothing of its response for so long has gone. */
+    /** A client that reads nothing of its response for so long has gone, in microseconds. */
     private static final long WRITE_TIMEOUT_US = 10_000_000;
-    /** The longest time that a connection is read from after its last response. */
+    /** The longest time that a connection is read from after its last response, in microseconds. */
     private static final long LINGER_TIMEOUT_US = 1_000_000;
     /**
      * A client that has read its last response has closed by then: a round trip, of 50 ms in either direction by the
