--- a/src/main/java/gaugegw/balancer/AdmissionController.java
+++ b/src/main/java/gaugegw/balancer/AdmissionController.java
@@ -15,7 +15,7 @@
     /** The time-out in times left to the objective. If it were longer, silent endpoints would use up the limit. */
     private static final double TIMEOUT_OBJECTIVES = 2;
 
-    private final ControlPeriods periods;
+    private final ControlParameters parameters;
     private final int flowCount;
     private final EndpointMembership membership;
     private final AdmissionQueue queue;
@@ -25,14 +25,14 @@
     private long wakeUpAtUs = Long.MIN_VALUE;
 
     AdmissionController(
-            ControlPeriods periods,
+            ControlParameters parameters,
             int flowCount,
             EndpointMembership membership,
             AdmissionQueue queue,
             ConcurrencyLimiter limiter,
             EarliestDeadlineSelector selector,
             RejectionPolicy rejection) {
-        this.periods = periods;
+        this.parameters = parameters;
         this.flowCount = flowCount;
         this.membership = membership;
         this.queue = queue;
@@ -108,7 +108,7 @@
         for (int position = queue.size() - 1; position >= 0; position--) {
             PendingRequest request = queue.get(position);
             boolean tooMany = position >= Math.max(limiter.limit(), 1);
-            if (request.giveUpAtUs() <= nowUs || membership.ready().isEmpty() || tooMany) {
+            if (request.giveUpAtUs() <= nowUs || membership.readyEndpoints().isEmpty() || tooMany) {
                 queue.remove(request);
                 rejection.reject(request, nowUs, actions);
             }
@@ -122,7 +122,7 @@
     private void scheduleWakeUp(long nowUs, Consumer<Action> actions) {
         long nextGiveUpAtUs = queue.nextGiveUpAtUs();
         if (queue.size() > 0 && (nowUs >= wakeUpAtUs || nextGiveUpAtUs < wakeUpAtUs)) {
-            wakeUpAtUs = Math.min(nowUs + periods.latencyBudgetUs() / WAKE_UPS_PER_LATENCY_BUDGET, nextGiveUpAtUs);
+            wakeUpAtUs = Math.min(nowUs + parameters.latencyBudgetUs() / WAKE_UPS_PER_LATENCY_BUDGET, nextGiveUpAtUs);
             actions.accept(new Action.SetTimer(wakeUpAtUs, TIMER_TOKEN));
         }
     }
--- a/src/main/java/gaugegw/balancer/AdmissionQueue.java
+++ b/src/main/java/gaugegw/balancer/AdmissionQueue.java
@@ -24,8 +24,8 @@
      *
      * @param minEventIntervalUs the least time between two rounds of events, in microseconds
      */
-    AdmissionQueue(ControlPeriods periods, long minEventIntervalUs, RequestFlows flows, CacheAffinity affinity) {
-        this.giveUpBeforeObjectiveUs = GIVE_UP_LATENCY_BUDGETS * periods.latencyBudgetUs();
+    AdmissionQueue(ControlParameters parameters, long minEventIntervalUs, RequestFlows flows, CacheAffinity affinity) {
+        this.giveUpBeforeObjectiveUs = GIVE_UP_LATENCY_BUDGETS * parameters.latencyBudgetUs();
         this.giveUpBeforeDeadlineUs = GIVE_UP_EVENT_INTERVALS * minEventIntervalUs;
         this.flows = flows;
         this.affinity = affinity;
--- a/src/main/java/gaugegw/balancer/AttemptOutcomeRecorder.java
+++ b/src/main/java/gaugegw/balancer/AttemptOutcomeRecorder.java
@@ -6,9 +6,9 @@
 /** Feeds the outcome of an attempt to the health, latency and load statistics. */
 final class AttemptOutcomeRecorder {
     private final OutcomeRates rates;
-    private final LoadMeasurement load;
+    private final LoadStatistics load;
 
-    AttemptOutcomeRecorder(OutcomeRates rates, LoadMeasurement load) {
+    AttemptOutcomeRecorder(OutcomeRates rates, LoadStatistics load) {
         this.rates = rates;
         this.load = load;
     }
@@ -18,11 +18,11 @@
         boolean causedByEndpoint = outcome != AttemptOutcome.CANCELLED && outcome != AttemptOutcome.NOT_SENT;
         if (causedByEndpoint) {
             rates.recordAttempt(outcome);
-            attempt.endpoint().health().recordOutcome(request.flow(), outcome, rates.errorShare(), nowUs);
+            attempt.endpoint().health().recordOutcome(request.flow(), outcome, rates.errorRate(), nowUs);
             attempt.endpoint().latency().record(effectiveLatencyUs(request, attempt, event));
         }
         if (outcome == AttemptOutcome.SUCCESS) {
-            load.recordAnswer(event.latencyUs(), nowUs);
+            load.recordResponse(event.latencyUs(), nowUs);
             rates.recordSuccess();
         }
     }
--- a/src/main/java/gaugegw/balancer/AttemptRecord.java
+++ b/src/main/java/gaugegw/balancer/AttemptRecord.java
@@ -6,7 +6,7 @@
 /** One attempt of a request, with the time-out that it was started with. */
 final class AttemptRecord {
     private final EndpointRecord endpoint;
-    private final Endpoint startedTo;
+    private final Endpoint listEntryAtStart;
     private final long startedAtUs;
     private final long timeoutUs;
     /** Null while the attempt is in flight. */
@@ -20,7 +20,7 @@
      */
     AttemptRecord(EndpointRecord endpoint, long startedAtUs, long timeoutUs) {
         this.endpoint = endpoint;
-        this.startedTo = endpoint.listed();
+        this.listEntryAtStart = endpoint.listEntry();
         this.startedAtUs = startedAtUs;
         this.timeoutUs = timeoutUs;
     }
@@ -30,8 +30,8 @@
     }
 
     /** Returns the list entry when the attempt started: a later one may name another zone or cell. */
-    Endpoint startedTo() {
-        return startedTo;
+    Endpoint listEntryAtStart() {
+        return listEntryAtStart;
     }
 
     /** Returns the start on the proxy's clock, in microseconds. */
--- a/src/main/java/gaugegw/balancer/CacheAffinity.java
+++ b/src/main/java/gaugegw/balancer/CacheAffinity.java
@@ -23,7 +23,7 @@
             return null;
         }
         int keyHash = key.hashCode();
-        return membership.ready().stream()
+        return membership.readyEndpoints().stream()
                 .max(Comparator.comparingInt(
                         endpoint -> HashMixer.mix(keyHash ^ endpoint.id().hashCode())))
                 .orElse(null);
--- a/src/main/java/gaugegw/balancer/ConcurrencyLimiter.java
+++ b/src/main/java/gaugegw/balancer/ConcurrencyLimiter.java
@@ -23,9 +23,9 @@
     private static final double MAX_HUNG_TIMEOUT_SHARE = 0.08;
 
     private final int proxyCount;
-    private final ControlPeriods periods;
+    private final ControlParameters parameters;
     private final EndpointMembership membership;
-    private final LoadMeasurement load;
+    private final LoadStatistics load;
     private final OutcomeRates rates;
     /** In the order started. */
     private final Set<AttemptRecord> inFlight = new LinkedHashSet<>();
@@ -38,12 +38,12 @@
 
     ConcurrencyLimiter(
             int proxyCount,
-            ControlPeriods periods,
+            ControlParameters parameters,
             EndpointMembership membership,
-            LoadMeasurement load,
+            LoadStatistics load,
             OutcomeRates rates) {
         this.proxyCount = proxyCount;
-        this.periods = periods;
+        this.parameters = parameters;
         this.membership = membership;
         this.load = load;
         this.rates = rates;
@@ -53,7 +53,7 @@
     void update(long nowUs) {
         limit = limit(nowUs);
         double unusedSinceUs = (limit - countedAttempts(nowUs)) * (nowUs - updatedAtUs);
-        unusedLimitUs = Math.min(limit * periods.refreshUs(), unusedLimitUs + unusedSinceUs);
+        unusedLimitUs = Math.min(limit * parameters.refreshPeriodUs(), unusedLimitUs + unusedSinceUs);
         updatedAtUs = nowUs;
     }
 
@@ -78,14 +78,14 @@
         int counted = countedAttempts(nowUs);
         return counted < Math.max(limit, MIN_ATTEMPTS_PER_ENDPOINT)
                 && (counted + 1 <= limit
-                        || unusedLimitUs >= -request.lowerPriorityShare() * limit * periods.refreshUs());
+                        || unusedLimitUs >= -request.lowerPriorityShare() * limit * parameters.refreshPeriodUs());
     }
 
     /** Returns what is answered within the latency budget, but not less than keeps the endpoints busy. */
     private double limit(long nowUs) {
-        double latencyUs = Math.max(periods.latencyBudgetUs(), LATENCY_HEADROOM * load.unloadedLatencyUs());
-        double byAnswerRate = load.answersPerUs(nowUs) * latencyUs;
-        double endpointsPerProxy = membership.ready().size() / (double) proxyCount;
+        double latencyUs = Math.max(parameters.latencyBudgetUs(), LATENCY_HEADROOM * load.unloadedLatencyUs());
+        double byAnswerRate = load.responsesPerUs(nowUs) * latencyUs;
+        double endpointsPerProxy = membership.readyEndpoints().size() / (double) proxyCount;
         double extra = endpointsPerProxy < 1 ? extraAttemptsPerEndpoint() : 0;
         return Math.max(byAnswerRate, endpointsPerProxy * (MIN_ATTEMPTS_PER_ENDPOINT + extra));
     }
@@ -97,15 +97,15 @@
     private double extraAttemptsPerEndpoint() {
         double busyCores = load.endpointThroughputPerUs() * proxyCount * load.unloadedLatencyUs();
         double cores = Math.min(MIN_ATTEMPTS_PER_ENDPOINT, Math.max(1, busyCores));
-        return cores * (1 - rates.rejectionShare()) - rates.rejectionShare();
+        return cores * (1 - rates.rejectionRate()) - rates.rejectionRate();
     }
 
     /** Returns the attempts in flight without the hung ones, which would keep others from endpoints that are free. */
     private int countedAttempts(long nowUs) {
-        if (!load.hasReliableLatency() || rates.timeoutShare() > MAX_HUNG_TIMEOUT_SHARE) {
+        if (!load.hasReliableLatency() || rates.timeoutRate() > MAX_HUNG_TIMEOUT_SHARE) {
             return inFlight.size();
         }
-        double hungUs = Math.max(periods.latencyBudgetUs(), HUNG_LATENCY_MULTIPLE * load.meanLatencyUs());
+        double hungUs = Math.max(parameters.latencyBudgetUs(), HUNG_LATENCY_MULTIPLE * load.meanLatencyUs());
         int hung = 0;
         for (AttemptRecord attempt : inFlight) {
             if (nowUs - attempt.startedAtUs() < hungUs) {
--- a/src/main/java/gaugegw/balancer/DuplicateExecutionGuard.java
+++ b/src/main/java/gaugegw/balancer/DuplicateExecutionGuard.java
@@ -51,7 +51,7 @@
         long latestStartUs = nowUs + settings.limits().connectTimeoutUs();
         return requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
                 && latestStartUs < earlier.startedAtUs() + requestClass.deduplicationWindowUs()
-                && sharesScope(requestClass.deduplicationScope(), earlier.startedTo(), endpoint.listed());
+                && sharesScope(requestClass.deduplicationScope(), earlier.listEntryAtStart(), endpoint.listEntry());
     }
 
     private static boolean sharesScope(DeduplicationScope scope, Endpoint first, Endpoint second) {
--- a/src/main/java/gaugegw/balancer/EarliestDeadlineLoadBalancer.java
+++ b/src/main/java/gaugegw/balancer/EarliestDeadlineLoadBalancer.java
@@ -16,7 +16,7 @@
     private final RequestFlows flows;
     private final EndpointMembership membership;
     private final EndpointWeights weights;
-    private final LoadMeasurement load;
+    private final LoadStatistics load;
     private final ConcurrencyLimiter limiter;
     private final RequestRegistry registry;
     private final RequestPriority priority;
@@ -32,25 +32,25 @@
     public EarliestDeadlineLoadBalancer(BalancerSettings settings) {
         int proxyCount = settings.proxyCount();
         var limits = settings.limits();
-        var periods = ControlPeriods.of(settings);
-        var quotas = new TenantQuotas(settings, periods);
+        var parameters = ControlParameters.of(settings);
+        var quotas = new TenantQuotas(settings, parameters);
         var rates = new OutcomeRates();
         var guard = new DuplicateExecutionGuard(settings);
         flows = new RequestFlows(settings, quotas.count());
-        membership = new EndpointMembership(settings, flows.count(), periods);
-        weights = new EndpointWeights(membership, periods);
-        load = new LoadMeasurement(periods);
-        limiter = new ConcurrencyLimiter(proxyCount, periods, membership, load, rates);
+        membership = new EndpointMembership(settings, flows.count(), parameters);
+        weights = new EndpointWeights(membership, parameters);
+        load = new LoadStatistics(parameters);
+        limiter = new ConcurrencyLimiter(proxyCount, parameters, membership, load, rates);
         registry = new RequestRegistry(limits.cancellation());
         priority = new RequestPriority(settings, flows, quotas);
-        queue = new AdmissionQueue(periods, settings.minEventIntervalUs(), flows, new CacheAffinity(membership));
+        queue = new AdmissionQueue(parameters, settings.minEventIntervalUs(), flows, new CacheAffinity(membership));
         retryPolicy = new RetryPolicy(limits.maxAttempts(), membership, guard);
-        var retryAfter = new RetryAfter(limits.maxRetryAfterUs(), periods, membership, load, queue);
+        var retryAfter = new RetryAfter(limits.maxRetryAfterUs(), parameters, membership, load, queue);
         rejection = new RejectionPolicy(retryAfter, guard, rates, registry);
         var subset = new EndpointSubset(proxyCount, membership, load);
         var slowStart = new SlowStartBudget(settings, membership, load);
         var selector = new EarliestDeadlineSelector(membership, subset, guard, slowStart, limiter);
-        admission = new AdmissionController(periods, flows.count(), membership, queue, limiter, selector, rejection);
+        admission = new AdmissionController(parameters, flows.count(), membership, queue, limiter, selector, rejection);
         outcomes = new AttemptOutcomeRecorder(rates, load);
         polling = new DiscoveryPolling(settings);
     }
@@ -84,7 +84,7 @@
 
     private void handleRequestArrived(long nowUs, Event.RequestArrived arrival) {
         RequestClass requestClass = flows.requestClass(arrival.requestClass());
-        load.sampleIfDue(membership.ready().size(), nowUs);
+        load.sampleIfDue(membership.readyEndpoints().size(), nowUs);
         weights.refreshIfDue(nowUs);
         retryPolicy.recordRequest();
         PendingRequest request = priority.prioritize(arrival, requestClass, nowUs);
@@ -101,7 +101,7 @@
         request.recordAttemptEnded(attempt, end.outcome());
         limiter.recordAttemptEnded(attempt);
         attempt.endpoint().health().recordAttemptEnded(request.flow(), end.outcome(), nowUs);
-        membership.closeIdleUnlessReady(attempt.endpoint(), actions);
+        membership.closeIdleConnectionsUnlessReady(attempt.endpoint(), actions);
         outcomes.record(request, attempt, end, nowUs);
         if (request.isAnswered() || end.requestEnded()) {
             registry.close(request, actions);
--- a/src/main/java/gaugegw/balancer/EarliestDeadlineSelector.java
+++ b/src/main/java/gaugegw/balancer/EarliestDeadlineSelector.java
@@ -46,7 +46,7 @@
         int unhealthy = 0;
         int failing = 0;
         double subsetRemaining = subset.size(nowUs);
-        for (EndpointRecord endpoint : membership.ready()) {
+        for (EndpointRecord endpoint : membership.readyEndpoints()) {
             if (!duplicateGuard.permitsAttempt(request, endpoint, nowUs)) {
                 continue;
             }
--- a/src/main/java/gaugegw/balancer/EndpointHealth.java
+++ b/src/main/java/gaugegw/balancer/EndpointHealth.java
@@ -22,12 +22,12 @@
     /** An endpoint is suspect only once it has been silent for this many latency budgets. */
     private static final int SILENCE_LATENCY_BUDGETS = 2;
 
-    private final ControlPeriods periods;
+    private final ControlParameters parameters;
     private final HealthTracker whole = new HealthTracker();
     private final HealthTracker[] byFlow;
 
-    EndpointHealth(int flowCount, ControlPeriods periods) {
-        this.periods = periods;
+    EndpointHealth(int flowCount, ControlParameters parameters) {
+        this.parameters = parameters;
         this.byFlow = Stream.generate(HealthTracker::new).limit(flowCount).toArray(HealthTracker[]::new);
     }
 
@@ -42,7 +42,7 @@
      * @param kindMeanUs the mean latency of the endpoint's kind, in microseconds
      */
     Condition condition(int flow, double kindMeanUs, long nowUs) {
-        long maxSilenceUs = (long) Math.max(SILENCE_LATENCY_BUDGETS * periods.latencyBudgetUs(), kindMeanUs);
+        long maxSilenceUs = (long) Math.max(SILENCE_LATENCY_BUDGETS * parameters.latencyBudgetUs(), kindMeanUs);
         if (whole.mayReceive(nowUs, maxSilenceUs) && byFlow[flow].mayReceive(nowUs, maxSilenceUs)) {
             return Condition.HEALTHY;
         }
@@ -62,12 +62,12 @@
     }
 
     /** Takes an outcome: what cannot be reached fails for all flows, any other failure concerns its flow alone. */
-    void recordOutcome(int flow, AttemptOutcome outcome, double errorShare, long nowUs) {
+    void recordOutcome(int flow, AttemptOutcome outcome, double errorRate, long nowUs) {
         boolean unreachable = outcome == AttemptOutcome.CONNECT_FAILED;
         boolean success = outcome == AttemptOutcome.SUCCESS;
         boolean error = OutcomeRates.isError(outcome);
-        boolean errorsAreCommon = errorShare > COMMON_ERROR_SHARE;
-        whole.recordResult(!unreachable, unreachable, errorsAreCommon, nowUs, periods.refreshUs());
-        byFlow[flow].recordResult(success, error, errorsAreCommon, nowUs, periods.refreshUs());
+        boolean errorsAreCommon = errorRate > COMMON_ERROR_SHARE;
+        whole.recordResult(!unreachable, unreachable, errorsAreCommon, nowUs, parameters.refreshPeriodUs());
+        byFlow[flow].recordResult(success, error, errorsAreCommon, nowUs, parameters.refreshPeriodUs());
     }
 }
--- a/src/main/java/gaugegw/balancer/EndpointLatency.java
+++ b/src/main/java/gaugegw/balancer/EndpointLatency.java
@@ -26,13 +26,13 @@
 
     /** Returns the expected latency in microseconds; means nothing while the kind has no samples. */
     double expectedUs() {
-        double prior = ControlPeriods.KIND_PRIOR_SAMPLES;
+        double prior = ControlParameters.KIND_PRIOR_SAMPLES;
         return (prior * kind.meanUs() + ownSumUs) / (prior + ownSamples);
     }
 
     /** Reduces the influence of the endpoint's own samples, once a refresh of the weights. */
     void decayOwnSamples() {
-        ownSumUs *= ControlPeriods.KEPT_PER_REFRESH;
-        ownSamples *= ControlPeriods.KEPT_PER_REFRESH;
+        ownSumUs *= ControlParameters.REFRESH_DECAY_FACTOR;
+        ownSamples *= ControlParameters.REFRESH_DECAY_FACTOR;
     }
 }
--- a/src/main/java/gaugegw/balancer/EndpointMembership.java
+++ b/src/main/java/gaugegw/balancer/EndpointMembership.java
@@ -19,16 +19,16 @@
 final class EndpointMembership {
     private final BalancerSettings settings;
     private final int flowCount;
-    private final ControlPeriods periods;
+    private final ControlParameters parameters;
     private final ProxyEndpointOrder order;
     private final Map<String, EndpointRecord> byId = new HashMap<>();
     private final Map<String, LatencyAverage> kinds = new HashMap<>();
-    private final List<EndpointRecord> ready = new ArrayList<>();
+    private final List<EndpointRecord> readyEndpoints = new ArrayList<>();
 
-    EndpointMembership(BalancerSettings settings, int flowCount, ControlPeriods periods) {
+    EndpointMembership(BalancerSettings settings, int flowCount, ControlParameters parameters) {
         this.settings = settings;
         this.flowCount = flowCount;
-        this.periods = periods;
+        this.parameters = parameters;
         this.order = new ProxyEndpointOrder(settings.proxyCount(), settings.proxyIndex());
     }
 
@@ -38,48 +38,48 @@
     }
 
     /** Returns the endpoints that may receive attempts, in this proxy's order; a live list, not to be changed. */
-    List<EndpointRecord> ready() {
-        return ready;
+    List<EndpointRecord> readyEndpoints() {
+        return readyEndpoints;
     }
 
     /** Puts the ready endpoints in this proxy's order, which depends on their weights. */
     void sort() {
-        order.sort(ready);
+        order.sort(readyEndpoints);
     }
 
     /** Applies a list update; an endpoint missing from a complete list is gone. The weights are then out of date. */
     void apply(EndpointUpdate update, long nowUs, Consumer<Action> actions) {
         boolean complete = update.kind() != UpdateKind.DELTA;
-        List<EndpointRecord> before = List.copyOf(ready);
+        List<EndpointRecord> before = List.copyOf(readyEndpoints);
         if (complete) {
-            ready.forEach(EndpointRecord::markNotReady);
-            ready.clear();
+            readyEndpoints.forEach(EndpointRecord::markNotReady);
+            readyEndpoints.clear();
         }
         update.endpoints().forEach(entry -> apply(entry, nowUs));
-        before.forEach(endpoint -> closeIdleUnlessReady(endpoint, actions));
+        before.forEach(endpoint -> closeIdleConnectionsUnlessReady(endpoint, actions));
         if (complete) {
-            byId.values().retainAll(ready);
+            byId.values().retainAll(readyEndpoints);
         }
     }
 
     private void apply(Endpoint entry, long nowUs) {
         EndpointRecord endpoint = byId.get(entry.id());
-        if (endpoint != null && entry.startedAtUs() != endpoint.listed().startedAtUs()) {
+        if (endpoint != null && entry.startedAtUs() != endpoint.listEntry().startedAtUs()) {
             endpoint.markNotReady();
-            ready.remove(endpoint);
+            readyEndpoints.remove(endpoint);
             endpoint = null;
         }
         if (endpoint == null) {
-            var allowance = new SlowStartAllowance(entry, settings.proxyIndex(), nowUs);
-            endpoint = new EndpointRecord(entry, new EndpointHealth(flowCount, periods), allowance);
+            var allowance = new SlowStartTokenBucket(entry, settings.proxyIndex(), nowUs);
+            endpoint = new EndpointRecord(entry, new EndpointHealth(flowCount, parameters), allowance);
             byId.put(endpoint.id(), endpoint);
         }
         boolean inProxyZone = settings.zone().equals(entry.zone());
         LatencyAverage kind = kinds.computeIfAbsent(String.valueOf(entry.kind()), name -> new LatencyAverage());
         endpoint.update(entry, inProxyZone, kind);
-        ready.remove(endpoint);
+        readyEndpoints.remove(endpoint);
         if (endpoint.isReady()) {
-            ready.add(endpoint);
+            readyEndpoints.add(endpoint);
         }
         if (entry.state() == EndpointState.GONE) {
             byId.remove(endpoint.id());
@@ -87,7 +87,7 @@
     }
 
     /** Closes the idle connections to an endpoint that drains or is gone: no further attempt will use them. */
-    void closeIdleUnlessReady(EndpointRecord endpoint, Consumer<Action> actions) {
+    void closeIdleConnectionsUnlessReady(EndpointRecord endpoint, Consumer<Action> actions) {
         if (!endpoint.isReady()) {
             actions.accept(new Action.CloseIdleConnections(endpoint.id()));
         }
--- a/src/main/java/gaugegw/balancer/EndpointRecord.java
+++ b/src/main/java/gaugegw/balancer/EndpointRecord.java
@@ -11,19 +11,19 @@
     private final String id;
     private final EndpointHealth health;
     private final EndpointLatency latency = new EndpointLatency();
-    private final SlowStartAllowance slowStartAllowance;
-    private Endpoint listed;
+    private final SlowStartTokenBucket slowStartTokens;
+    private Endpoint listEntry;
     private boolean ready;
     private boolean inProxyZone;
     private double weight;
     private double virtualTime;
 
     /** Creates a record that is not ready, and has no weight, until the first {@link #update}. */
-    EndpointRecord(Endpoint listed, EndpointHealth health, SlowStartAllowance slowStartAllowance) {
-        this.id = listed.id();
-        this.listed = listed;
+    EndpointRecord(Endpoint listEntry, EndpointHealth health, SlowStartTokenBucket slowStartTokens) {
+        this.id = listEntry.id();
+        this.listEntry = listEntry;
         this.health = health;
-        this.slowStartAllowance = slowStartAllowance;
+        this.slowStartTokens = slowStartTokens;
     }
 
     String id() {
@@ -38,13 +38,13 @@
         return latency;
     }
 
-    SlowStartAllowance slowStartAllowance() {
-        return slowStartAllowance;
+    SlowStartTokenBucket slowStartTokens() {
+        return slowStartTokens;
     }
 
     /** Returns the list entry in force. */
-    Endpoint listed() {
-        return listed;
+    Endpoint listEntry() {
+        return listEntry;
     }
 
     /** Returns whether attempts may start: not once it drains, is gone, or was replaced by a restart. */
@@ -73,7 +73,7 @@
 
     /** Takes a list entry for this process. */
     void update(Endpoint entry, boolean inProxyZone, LatencyAverage kind) {
-        this.listed = entry;
+        this.listEntry = entry;
         this.inProxyZone = inProxyZone;
         this.ready = entry.state() == EndpointState.READY;
         latency.setKind(kind);
@@ -94,6 +94,6 @@
     void recordAttemptStarted(int flow, long nowUs) {
         virtualTime += 1;
         health.recordAttemptStarted(flow, nowUs);
-        slowStartAllowance.use();
+        slowStartTokens.use();
     }
 }
--- a/src/main/java/gaugegw/balancer/EndpointSubset.java
+++ b/src/main/java/gaugegw/balancer/EndpointSubset.java
@@ -15,14 +15,14 @@
 
     private final int proxyCount;
     private final EndpointMembership membership;
-    private final LoadMeasurement load;
+    private final LoadStatistics load;
 
     /**
      * Creates a subset that keeps no state of its own.
      *
      * @param proxyCount the number of proxies that share the endpoints, this one included
      */
-    EndpointSubset(int proxyCount, EndpointMembership membership, LoadMeasurement load) {
+    EndpointSubset(int proxyCount, EndpointMembership membership, LoadStatistics load) {
         this.proxyCount = proxyCount;
         this.membership = membership;
         this.load = load;
@@ -30,8 +30,8 @@
 
     /** Returns the number of members: this proxy's even part, or more if it is far busier than others. */
     double size(long nowUs) {
-        double evenPart = PROXIES_PER_ENDPOINT * membership.ready().size() / proxyCount;
-        double busyEndpoints = load.answersPerUs(nowUs) * load.unloadedLatencyUs();
+        double evenPart = PROXIES_PER_ENDPOINT * membership.readyEndpoints().size() / proxyCount;
+        double busyEndpoints = load.responsesPerUs(nowUs) * load.unloadedLatencyUs();
         return Math.max(evenPart, busyEndpoints);
     }
 
--- a/src/main/java/gaugegw/balancer/EndpointWeights.java
+++ b/src/main/java/gaugegw/balancer/EndpointWeights.java
@@ -15,9 +15,9 @@
     private final long periodUs;
     private long dueAtUs = Long.MIN_VALUE;
 
-    EndpointWeights(EndpointMembership membership, ControlPeriods periods) {
+    EndpointWeights(EndpointMembership membership, ControlParameters parameters) {
         this.membership = membership;
-        this.periodUs = periods.refreshUs();
+        this.periodUs = parameters.refreshPeriodUs();
     }
 
     void refreshIfDue(long nowUs) {
@@ -29,12 +29,12 @@
     /** Sets the weights and puts the endpoints in order; called when the endpoint list has changed, too. */
     void refresh(long nowUs) {
         dueAtUs = nowUs + periodUs;
-        List<EndpointRecord> endpoints = membership.ready();
+        List<EndpointRecord> endpoints = membership.readyEndpoints();
         double scale = listWeightScale(endpoints);
         endpoints.forEach(e -> e.setWeight(
                 e.latency().kind().samples() > 0
                         ? 1 / e.latency().expectedUs()
-                        : e.listed().weight() * scale));
+                        : e.listEntry().weight() * scale));
         double floor = FLOOR
                 * endpoints.stream().mapToDouble(EndpointRecord::weight).max().orElse(1);
         double sum =
@@ -54,7 +54,8 @@
     private static double listWeightScale(List<EndpointRecord> endpoints) {
         return endpoints.stream()
                 .filter(e -> e.latency().kind().samples() > 0)
-                .mapToDouble(e -> 1 / (e.latency().kind().meanUs() * e.listed().weight()))
+                .mapToDouble(
+                        e -> 1 / (e.latency().kind().meanUs() * e.listEntry().weight()))
                 .average()
                 .orElse(1);
     }
--- a/src/main/java/gaugegw/balancer/LatencyAverage.java
+++ b/src/main/java/gaugegw/balancer/LatencyAverage.java
@@ -7,7 +7,7 @@
 
     /** Adds a sample, in microseconds. */
     void record(double latencyUs) {
-        samples = Math.min(samples + 1, ControlPeriods.LATENCY_SAMPLES);
+        samples = Math.min(samples + 1, ControlParameters.LATENCY_WINDOW_SAMPLES);
         meanUs += (latencyUs - meanUs) / samples;
     }
 
@@ -16,7 +16,7 @@
         return meanUs;
     }
 
-    /** Returns the number of samples, at most {@link ControlPeriods#LATENCY_SAMPLES}. */
+    /** Returns the number of samples, at most {@link ControlParameters#LATENCY_WINDOW_SAMPLES}. */
     int samples() {
         return samples;
     }
--- a/src/main/java/gaugegw/balancer/LoadMeasurement.java
+++ b/src/main/java/gaugegw/balancer/LoadStatistics.java
@@ -5,18 +5,18 @@
  * of an endpoint. The period is not that of the weights, which starts afresh at each change of the endpoint list:
  * during a rolling restart nothing would be sampled.
  */
-final class LoadMeasurement {
+final class LoadStatistics {
     private final long periodUs;
     private final LatencyAverage latency = new LatencyAverage();
-    private double answersPerUs;
-    private long answeredAtUs;
+    private double responsesPerUs;
+    private long respondedAtUs;
     private long sampleDueAtUs;
     private int samples;
     private double unloadedLatencyUs;
     private double endpointThroughputPerUs;
 
-    LoadMeasurement(ControlPeriods periods) {
-        periodUs = periods.refreshUs();
+    LoadStatistics(ControlParameters parameters) {
+        periodUs = parameters.refreshPeriodUs();
     }
 
     /** Sets the first sample to be due one refresh period from now. */
@@ -29,10 +29,10 @@
      *
      * @param latencyUs its latency in microseconds
      */
-    void recordAnswer(long latencyUs, long nowUs) {
+    void recordResponse(long latencyUs, long nowUs) {
         latency.record(latencyUs);
-        answersPerUs = answersPerUs(nowUs) + 1.0 / periodUs;
-        answeredAtUs = nowUs;
+        responsesPerUs = responsesPerUs(nowUs) + 1.0 / periodUs;
+        respondedAtUs = nowUs;
     }
 
     /** Samples the unloaded latency and the throughput once in a refresh period. */
@@ -46,13 +46,13 @@
         double meanUs = hasReliableLatency() ? latency.meanUs() : 0;
         unloadedLatencyUs = unloadedLatencyUs == 0 ? meanUs : Math.min(unloadedLatencyUs, meanUs);
         // An average, as answers of endpoints that have just left the list say nothing about those that stay.
-        double throughputPerUs = answersPerUs(nowUs) / Math.max(1, endpointCount);
+        double throughputPerUs = responsesPerUs(nowUs) / Math.max(1, endpointCount);
         endpointThroughputPerUs += (throughputPerUs - endpointThroughputPerUs)
-                * Math.max(1.0 / samples, 1 - ControlPeriods.KEPT_PER_REFRESH);
+                * Math.max(1.0 / samples, 1 - ControlParameters.REFRESH_DECAY_FACTOR);
     }
 
     boolean hasReliableLatency() {
-        return latency.samples() >= ControlPeriods.MIN_RELIABLE_ANSWERS;
+        return latency.samples() >= ControlParameters.MIN_RELIABLE_SAMPLES;
     }
 
     /** Returns the mean latency of successful answers in microseconds, 0 without any. */
@@ -61,8 +61,8 @@
     }
 
     /** Returns the answers of all endpoints per microsecond, an exponential average over the refresh period. */
-    double answersPerUs(long nowUs) {
-        return answersPerUs * Math.exp((answeredAtUs - nowUs) / (double) periodUs);
+    double responsesPerUs(long nowUs) {
+        return responsesPerUs * Math.exp((respondedAtUs - nowUs) / (double) periodUs);
     }
 
     /** Returns the least mean latency so far, in microseconds; 0 before the first sample. */
--- a/src/main/java/gaugegw/balancer/OutcomeRates.java
+++ b/src/main/java/gaugegw/balancer/OutcomeRates.java
@@ -4,12 +4,13 @@
 
 /**
  * The shares, from 0 to 1, of errors and time-outs in the attempts and of rejections in the requests. They are
- * exponential averages over {@link ControlPeriods#OUTCOME_ATTEMPTS} and {@link ControlPeriods#OUTCOME_REQUESTS}.
+ * exponential averages over {@link ControlParameters#OUTCOME_WINDOW_ATTEMPTS} and {@link
+ * ControlParameters#REJECTION_WINDOW_REQUESTS}.
  */
 final class OutcomeRates {
-    private double errorShare;
-    private double timeoutShare;
-    private double rejectionShare;
+    private double errorRate;
+    private double timeoutRate;
+    private double rejectionRate;
 
     /** Returns whether an outcome is an error: overload does not explain it, unlike a rejection or a time-out. */
     static boolean isError(AttemptOutcome outcome) {
@@ -21,27 +22,28 @@
 
     /** Takes the outcome of an attempt that was sent and not cancelled. */
     void recordAttempt(AttemptOutcome outcome) {
-        errorShare += ((isError(outcome) ? 1 : 0) - errorShare) / ControlPeriods.OUTCOME_ATTEMPTS;
-        timeoutShare += ((outcome == AttemptOutcome.TIMEOUT ? 1 : 0) - timeoutShare) / ControlPeriods.OUTCOME_ATTEMPTS;
+        errorRate += ((isError(outcome) ? 1 : 0) - errorRate) / ControlParameters.OUTCOME_WINDOW_ATTEMPTS;
+        timeoutRate +=
+                ((outcome == AttemptOutcome.TIMEOUT ? 1 : 0) - timeoutRate) / ControlParameters.OUTCOME_WINDOW_ATTEMPTS;
     }
 
     void recordRejection() {
-        rejectionShare += (1 - rejectionShare) / ControlPeriods.OUTCOME_REQUESTS;
+        rejectionRate += (1 - rejectionRate) / ControlParameters.REJECTION_WINDOW_REQUESTS;
     }
 
     void recordSuccess() {
-        rejectionShare -= rejectionShare / ControlPeriods.OUTCOME_REQUESTS;
+        rejectionRate -= rejectionRate / ControlParameters.REJECTION_WINDOW_REQUESTS;
     }
 
-    double errorShare() {
-        return errorShare;
+    double errorRate() {
+        return errorRate;
     }
 
-    double timeoutShare() {
-        return timeoutShare;
+    double timeoutRate() {
+        return timeoutRate;
     }
 
-    double rejectionShare() {
-        return rejectionShare;
+    double rejectionRate() {
+        return rejectionRate;
     }
 }
--- a/src/main/java/gaugegw/balancer/RetryAfter.java
+++ b/src/main/java/gaugegw/balancer/RetryAfter.java
@@ -11,9 +11,9 @@
     private static final int JITTER_BITS = 16;
 
     private final long maxUs;
-    private final ControlPeriods periods;
+    private final ControlParameters parameters;
     private final EndpointMembership membership;
-    private final LoadMeasurement load;
+    private final LoadStatistics load;
     private final AdmissionQueue queue;
 
     /**
@@ -23,12 +23,12 @@
      */
     RetryAfter(
             long maxUs,
-            ControlPeriods periods,
+            ControlParameters parameters,
             EndpointMembership membership,
-            LoadMeasurement load,
+            LoadStatistics load,
             AdmissionQueue queue) {
         this.maxUs = maxUs;
-        this.periods = periods;
+        this.parameters = parameters;
         this.membership = membership;
         this.load = load;
         this.queue = queue;
@@ -36,17 +36,17 @@
 
     /** Returns the Retry-After for a request, in microseconds from now. */
     long delayUs(PendingRequest request, long nowUs) {
-        double delayUs = Math.min(Math.max(periods.latencyBudgetUs(), queueDelayUs(nowUs)), maxUs);
+        double delayUs = Math.min(Math.max(parameters.latencyBudgetUs(), queueDelayUs(nowUs)), maxUs);
         return (long) ((1 - JITTER_SHARE * jitter(request)) * delayUs);
     }
 
     /** Returns the time to answer what is queued; one refresh period where no endpoint is ready. */
     private double queueDelayUs(long nowUs) {
-        if (membership.ready().isEmpty()) {
-            return periods.refreshUs();
+        if (membership.readyEndpoints().isEmpty()) {
+            return parameters.refreshPeriodUs();
         }
-        double minAnswersPerUs = 1.0 / periods.refreshUs();
-        return queue.size() / Math.max(load.answersPerUs(nowUs), minAnswersPerUs);
+        double minAnswersPerUs = 1.0 / parameters.refreshPeriodUs();
+        return queue.size() / Math.max(load.responsesPerUs(nowUs), minAnswersPerUs);
     }
 
     /** Returns a value from 0 to below 1 that is always the same for a request. */
--- a/src/main/java/gaugegw/balancer/RetryPolicy.java
+++ b/src/main/java/gaugegw/balancer/RetryPolicy.java
@@ -41,7 +41,7 @@
 
     /** A request queued without an endpoint that may receive it would only take the place of another. */
     private boolean hasPermittedEndpoint(PendingRequest request, long nowUs) {
-        return membership.ready().stream()
+        return membership.readyEndpoints().stream()
                 .anyMatch(endpoint -> duplicateGuard.permitsAttempt(request, endpoint, nowUs));
     }
 }
--- a/src/main/java/gaugegw/balancer/SlowStartBudget.java
+++ b/src/main/java/gaugegw/balancer/SlowStartBudget.java
@@ -15,9 +15,9 @@
 
     private final BalancerSettings settings;
     private final EndpointMembership membership;
-    private final LoadMeasurement load;
+    private final LoadStatistics load;
 
-    SlowStartBudget(BalancerSettings settings, EndpointMembership membership, LoadMeasurement load) {
+    SlowStartBudget(BalancerSettings settings, EndpointMembership membership, LoadStatistics load) {
         this.settings = settings;
         this.membership = membership;
         this.load = load;
@@ -35,13 +35,13 @@
         }
         SafetyLimits limits = settings.safetyLimits();
         double budgetPerUs = SAFETY_MARGIN * limits.overloadMultiple() * warmUpFraction * capacityPerUs(endpoint);
-        return endpoint.slowStartAllowance().available(budgetPerUs, limits.overloadWindowUs(), nowUs) >= 1;
+        return endpoint.slowStartTokens().available(budgetPerUs, limits.overloadWindowUs(), nowUs) >= 1;
     }
 
     /** Returns the part of its capacity that an endpoint is sure to have, up to 1; it grows evenly from its start. */
     private double warmUpFraction(EndpointRecord endpoint, long nowUs) {
         SafetyLimits limits = settings.safetyLimits();
-        long startedAtUs = endpoint.listed().startedAtUs();
+        long startedAtUs = endpoint.listEntry().startedAtUs();
         if (startedAtUs <= 0 || nowUs - startedAtUs >= limits.slowStartUs()) {
             return FULLY_WARM;
         }
@@ -58,7 +58,7 @@
         double requestUs = kind.samples() > 0
                 ? kind.meanUs()
                 : settings.requestClasses().get(0).latencyObjectiveUs();
-        int endpointCount = membership.ready().size();
+        int endpointCount = membership.readyEndpoints().size();
         double byThroughputPerUs = load.endpointThroughputPerUs() * endpoint.weight() * endpointCount;
         return Math.max(1 / (requestUs * settings.proxyCount()), byThroughputPerUs);
     }
--- a/src/main/java/gaugegw/balancer/SlowStartAllowance.java
+++ b/src/main/java/gaugegw/balancer/SlowStartTokenBucket.java
@@ -6,7 +6,7 @@
  * The attempts that this proxy may start at one endpoint in slow start, granted in the course of time. What is not used
  * soon expires: if each of many proxies could save one attempt, all could start theirs in the same burst.
  */
-final class SlowStartAllowance {
+final class SlowStartTokenBucket {
     /** Part of a window's budget that may be used at once; the rest is granted in the course of the window. */
     private static final double BURST_SHARE = 0.25;
     /** Multiples of it, modulo 1, lie evenly for any run of successive proxies. */
@@ -17,7 +17,7 @@
     private long grantedAtUs;
 
     /** Grants a part of the first attempt, evenly spread over the proxies, so that the sum of all is near its mean. */
-    SlowStartAllowance(Endpoint endpoint, int proxyIndex, long nowUs) {
+    SlowStartTokenBucket(Endpoint endpoint, int proxyIndex, long nowUs) {
         int hash = HashMixer.mix(endpoint.id().hashCode() ^ Long.hashCode(endpoint.startedAtUs()));
         double phase = hash / (double) (1L << Integer.SIZE) + proxyIndex * GOLDEN_FRACTION;
         granted = phase - Math.floor(phase);
--- a/src/main/java/gaugegw/balancer/TenantQuotas.java
+++ b/src/main/java/gaugegw/balancer/TenantQuotas.java
@@ -13,11 +13,11 @@
 final class TenantQuotas {
     private static final double MICROS_PER_SECOND = 1e6;
 
-    private final long refreshUs;
+    private final long refreshPeriodUs;
     private final Map<String, Quota> byTenant = new HashMap<>();
 
-    TenantQuotas(BalancerSettings settings, ControlPeriods periods) {
-        refreshUs = periods.refreshUs();
+    TenantQuotas(BalancerSettings settings, ControlParameters parameters) {
+        refreshPeriodUs = parameters.refreshPeriodUs();
         for (Tenant tenant : settings.tenants()) {
             double requestsPerUs = tenant.quotaPerSecond() / MICROS_PER_SECOND / settings.proxyCount();
             byTenant.put(tenant.name(), new Quota(byTenant.size(), requestsPerUs));
@@ -37,7 +37,7 @@
     /** Counts a request and returns whether it is over quota. A retry uses nothing, as the first attempt has. */
     boolean isOverQuota(String tenant, boolean retry, long nowUs) {
         Quota quota = byTenant.get(tenant);
-        return quota != null && !quota.admits(retry, nowUs, refreshUs);
+        return quota != null && !quota.admits(retry, nowUs, refreshPeriodUs);
     }
 
     /** A tenant's token bucket. It holds up to one refresh period's requests. */
@@ -52,8 +52,8 @@
             this.requestsPerUs = requestsPerUs;
         }
 
-        boolean admits(boolean retry, long nowUs, long refreshUs) {
-            tokens = Math.min(requestsPerUs * refreshUs, tokens + requestsPerUs * (nowUs - refilledAtUs));
+        boolean admits(boolean retry, long nowUs, long refreshPeriodUs) {
+            tokens = Math.min(requestsPerUs * refreshPeriodUs, tokens + requestsPerUs * (nowUs - refilledAtUs));
             refilledAtUs = nowUs;
             if (tokens < 1) {
                 return false;
