--- a/src/main/java/gaugegw/balancer/DiscoveryPolling.java
+++ b/src/main/java/gaugegw/balancer/DiscoveryPolling.java
@@ -18,7 +18,7 @@
     private long nextPollAtUs = NOT_SCHEDULED;
 
     DiscoveryPolling(BalancerSettings settings) {
-        polled = settings.limits().endpointsArePolled();
+        polled = settings.limits().endpointUpdatesOnRequest();
         intervalUs = settings.safetyLimits().pollIntervalUs();
         backoff = new DiscoveryBackoff(new Random(settings.seed()), intervalUs);
     }
--- a/src/main/java/gaugegw/balancer/RequestPriority.java
+++ b/src/main/java/gaugegw/balancer/RequestPriority.java
@@ -35,7 +35,7 @@
                 arrival.requestId(),
                 requestClass,
                 flows.flow(requestClass, quotas.number(arrival.tenant())),
-                settings.cacheAffinity() ? arrival.key() : null,
+                settings.cacheAffinity() ? arrival.affinityKey() : null,
                 quotaFactor * (requestClass.priorityWeight() * lateFactor),
                 lateAnswersCount ? deadlineAtUs : Math.min(deadlineAtUs, objectiveAtUs),
                 deadlineAtUs);
--- a/src/main/java/gaugegw/balancer/api/Event.java
+++ b/src/main/java/gaugegw/balancer/api/Event.java
@@ -18,12 +18,12 @@
      * @param requestId names the request; never used again
      * @param requestClass the name of its class
      * @param tenant its tenant, or null
-     * @param key what the request is about, or null; see {@link BalancerSettings#cacheAffinity}
+     * @param affinityKey what the request is about, or null; see {@link BalancerSettings#cacheAffinity}
      * @param timeoutUs time until the client gives up, in microseconds
      * @param retry whether the client has marked it as a retry
      */
     record RequestArrived(
-            String requestId, String requestClass, String tenant, String key, long timeoutUs, boolean retry)
+            String requestId, String requestClass, String tenant, String affinityKey, long timeoutUs, boolean retry)
             implements Event {}
 
     /**
--- a/src/main/java/gaugegw/balancer/api/Limits.java
+++ b/src/main/java/gaugegw/balancer/api/Limits.java
@@ -6,7 +6,7 @@
  * @param cancellation whether {@link Action.CancelAttempt} is permitted
  * @param hedging whether a request may have two attempts in flight
  * @param healthChecks whether {@link Action.CheckHealth} is permitted
- * @param endpointsArePolled whether endpoint updates arrive only after {@link Action.WatchEndpoints} or
+ * @param endpointUpdatesOnRequest whether endpoint updates arrive only after {@link Action.WatchEndpoints} or
  *     {@link Action.FetchEndpoints}
  * @param maxAttempts the most attempts of one request
  * @param maxRetryAfterUs the longest advice of {@link Action.Reject#retryAfterUs}, in microseconds; 0 for none at all
@@ -16,7 +16,7 @@
         boolean cancellation,
         boolean hedging,
         boolean healthChecks,
-        boolean endpointsArePolled,
+        boolean endpointUpdatesOnRequest,
         int maxAttempts,
         long maxRetryAfterUs,
         long connectTimeoutUs) {
--- a/src/main/java/gaugegw/proxy/discovery/EndpointWatcher.java
+++ b/src/main/java/gaugegw/proxy/discovery/EndpointWatcher.java
@@ -78,7 +78,7 @@
         this.updateListener = updateListener;
         this.address = address;
         this.random = new SplittableRandom(settings.seed());
-        this.hasLocalAgent = !settings.limits().endpointsArePolled();
+        this.hasLocalAgent = !settings.limits().endpointUpdatesOnRequest();
         this.timing = CallTiming.of(settings, hasLocalAgent);
         this.nextTimeoutMs = timing.firstTimeoutMs();
     }
--- a/src/test/java/gaugegw/balancer/AdmissionQueueTest.java
+++ b/src/test/java/gaugegw/balancer/AdmissionQueueTest.java
@@ -5,7 +5,7 @@
 import static gaugegw.balancer.testing.TestSettings.PAY;
 import static gaugegw.balancer.testing.TestSettings.READ;
 import static gaugegw.balancer.testing.TestSettings.SECONDS;
-import static gaugegw.balancer.testing.TestSettings.readOnlySettings;
+import static gaugegw.balancer.testing.TestSettings.minimalSettings;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gaugegw.balancer.api.Action.Fail;
@@ -125,7 +125,7 @@
     @Test
     void freedCapacityGoesToTheRequestWhoseKeyIsCachedThere() {
         var proxy = new LoadBalancerDriver(
-                readOnlySettings().proxy(0, 3).cacheAffinity(true).build());
+                minimalSettings().proxy(0, 3).cacheAffinity(true).build());
         proxy.snapshot(endpoint("a"), endpoint("b"), endpoint("c"), endpoint("d"), endpoint("e"), endpoint("f"));
         String[] keys = new String[60];
         var cachedAt = new HashMap<String, String>();
--- a/src/test/java/gaugegw/balancer/ConcurrencyLimiterTest.java
+++ b/src/test/java/gaugegw/balancer/ConcurrencyLimiterTest.java
@@ -7,7 +7,7 @@
 import static gaugegw.balancer.testing.TestSettings.PAY;
 import static gaugegw.balancer.testing.TestSettings.READ;
 import static gaugegw.balancer.testing.TestSettings.SECONDS;
-import static gaugegw.balancer.testing.TestSettings.readOnlySettings;
+import static gaugegw.balancer.testing.TestSettings.minimalSettings;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gaugegw.balancer.api.Action.Reject;
@@ -86,7 +86,7 @@
     void lastProxyOfThreeKeepsItsEndpointsBusyWithSlowWork(boolean listChangesEachSecond) {
         // Without a queue an answer takes 200 ms, more than a fifth of the shortest latency objective.
         var lastProxy = new LoadBalancerDriver(
-                readOnlySettings().proxy(0, 3).requestClasses(READ, PAY).build());
+                minimalSettings().proxy(0, 3).requestClasses(READ, PAY).build());
         lastProxy.snapshot(endpoint("a"), endpoint("b"), endpoint("c"));
         var inFlight = new ArrayDeque<Started>();
         int actionsSeen = 0;
@@ -118,7 +118,7 @@
     @Test
     void twelveProxiesTogetherHaveNoMoreInFlightThanOne() {
         var alone = new LoadBalancerDriver();
-        var oneOfTwelve = new LoadBalancerDriver(readOnlySettings().proxy(0, 12).build());
+        var oneOfTwelve = new LoadBalancerDriver(minimalSettings().proxy(0, 12).build());
         Endpoint[] endpoints = endpoints(24, "s");
         assertThat(startedInABurst(oneOfTwelve, endpoints)).isBetween(1L, startedInABurst(alone, endpoints) / 6);
     }
--- a/src/test/java/gaugegw/balancer/DiscoveryPollingTest.java
+++ b/src/test/java/gaugegw/balancer/DiscoveryPollingTest.java
@@ -6,7 +6,7 @@
 import static gaugegw.balancer.testing.TestSettings.SAFETY_LIMITS;
 import static gaugegw.balancer.testing.TestSettings.SECONDS;
 import static gaugegw.balancer.testing.TestSettings.limits;
-import static gaugegw.balancer.testing.TestSettings.readOnlySettings;
+import static gaugegw.balancer.testing.TestSettings.minimalSettings;
 import static gaugegw.balancer.testing.TestSettings.safetyLimits;
 import static gaugegw.balancer.testing.TestSettings.settings;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -26,7 +26,7 @@
  * proxy that did not call in time would send to endpoints that have long been drained.
  */
 class DiscoveryPollingTest {
-    private static final Limits POLLED = limits().endpointsArePolled(true).build();
+    private static final Limits POLLED = limits().endpointUpdatesOnRequest(true).build();
 
     /**
      * The first call fails. The cached list stays in use meanwhile, and a timer within the poll interval makes the
@@ -133,7 +133,7 @@
     void proxiesDoNotRetryInStep() {
         var driver = new LoadBalancerDriver(settings().limits(POLLED).build());
         var otherDriver =
-                new LoadBalancerDriver(readOnlySettings().limits(POLLED).seed(8).build());
+                new LoadBalancerDriver(minimalSettings().limits(POLLED).seed(8).build());
         assertThat(driver.pollFailed())
                 .doesNotContainAnyElementsOf(otherDriver.pollFailed().stream()
                         .filter(a -> a instanceof SetTimer t
--- a/src/test/java/gaugegw/balancer/DuplicateEffectTest.java
+++ b/src/test/java/gaugegw/balancer/DuplicateEffectTest.java
@@ -8,7 +8,7 @@
 import static gaugegw.balancer.testing.TestSettings.PAY;
 import static gaugegw.balancer.testing.TestSettings.VOTE;
 import static gaugegw.balancer.testing.TestSettings.limits;
-import static gaugegw.balancer.testing.TestSettings.readOnlySettings;
+import static gaugegw.balancer.testing.TestSettings.minimalSettings;
 import static gaugegw.balancer.testing.TestSettings.requestClass;
 import static gaugegw.balancer.testing.TestSettings.safetyLimits;
 import static gaugegw.balancer.testing.TestSettings.settings;
@@ -111,7 +111,7 @@
                 .deduplicated(DeduplicationScope.ZONE, 100 * MILLIS)
                 .build();
         var shortWindowDriver = new LoadBalancerDriver(
-                readOnlySettings().requestClasses(shortWindow).build());
+                minimalSettings().requestClasses(shortWindow).build());
         shortWindowDriver.snapshot(endpoint("a"), endpoint("b"));
         String id = shortWindowDriver.submit(shortWindow);
         shortWindowDriver.nowUs += 100 * MILLIS;
@@ -132,7 +132,7 @@
                 .priorityWeight(10)
                 .deduplicated(DeduplicationScope.ZONE, 400 * MILLIS)
                 .build();
-        var shortWindowDriver = new LoadBalancerDriver(readOnlySettings()
+        var shortWindowDriver = new LoadBalancerDriver(minimalSettings()
                 .requestClasses(shortWindow)
                 .limits(limits().connectTimeoutUs(connectTimeoutUs).build())
                 .build());
--- a/src/test/java/gaugegw/balancer/EndpointSelectionTest.java
+++ b/src/test/java/gaugegw/balancer/EndpointSelectionTest.java
@@ -9,7 +9,7 @@
 import static gaugegw.balancer.testing.TestSettings.PAY;
 import static gaugegw.balancer.testing.TestSettings.READ;
 import static gaugegw.balancer.testing.TestSettings.SECONDS;
-import static gaugegw.balancer.testing.TestSettings.readOnlySettings;
+import static gaugegw.balancer.testing.TestSettings.minimalSettings;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gaugegw.balancer.api.AttemptOutcome;
@@ -137,11 +137,8 @@
         var endpoints = new Endpoint[] {endpoint("a"), endpoint("b"), endpoint("c"), endpoint("d")};
         var endpointOfKey = new HashMap<String, String>();
         for (long seed = 1; seed <= 3; seed++) {
-            var proxy = new LoadBalancerDriver(readOnlySettings()
-                    .proxy(0, 3)
-                    .cacheAffinity(true)
-                    .seed(seed)
-                    .build());
+            var proxy = new LoadBalancerDriver(
+                    minimalSettings().proxy(0, 3).cacheAffinity(true).seed(seed).build());
             proxy.snapshot(endpoints);
             for (int i = 0; i < 40; i++) {
                 String key = "key" + i;
--- a/src/test/java/gaugegw/balancer/InvariantChecker.java
+++ b/src/test/java/gaugegw/balancer/InvariantChecker.java
@@ -142,7 +142,7 @@
     }
 
     void endpointsWatched() {
-        assertThat(settings.limits().endpointsArePolled()).isTrue();
+        assertThat(settings.limits().endpointUpdatesOnRequest()).isTrue();
     }
 
     /**
--- a/src/test/java/gaugegw/balancer/LargeFleet.java
+++ b/src/test/java/gaugegw/balancer/LargeFleet.java
@@ -3,7 +3,7 @@
 import static gaugegw.balancer.testing.TestEndpoints.endpoints;
 import static gaugegw.balancer.testing.TestSettings.READ;
 import static gaugegw.balancer.testing.TestSettings.SECONDS;
-import static gaugegw.balancer.testing.TestSettings.readOnlySettings;
+import static gaugegw.balancer.testing.TestSettings.minimalSettings;
 
 import gaugegw.balancer.api.RequestClass;
 import java.util.List;
@@ -20,7 +20,7 @@
 
     /** Returns one proxy of the fleet, 5 s after its start; without classes named, it serves {@code READ} alone. */
     static LoadBalancerDriver proxy(int index, RequestClass... requestClasses) {
-        var driver = new LoadBalancerDriver(readOnlySettings()
+        var driver = new LoadBalancerDriver(minimalSettings()
                 .proxy(index, PROXIES)
                 .requestClasses(requestClasses.length == 0 ? List.of(READ) : List.of(requestClasses))
                 .seed(index)
--- a/src/test/java/gaugegw/balancer/LargeFleetSelectionTest.java
+++ b/src/test/java/gaugegw/balancer/LargeFleetSelectionTest.java
@@ -4,7 +4,7 @@
 import static gaugegw.balancer.testing.TestSettings.MILLIS;
 import static gaugegw.balancer.testing.TestSettings.READ;
 import static gaugegw.balancer.testing.TestSettings.SECONDS;
-import static gaugegw.balancer.testing.TestSettings.readOnlySettings;
+import static gaugegw.balancer.testing.TestSettings.minimalSettings;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gaugegw.balancer.api.Action.StartAttempt;
@@ -31,7 +31,7 @@
         }
         for (int index = 0; index < 12; index++) {
             var driver = new LoadBalancerDriver(
-                    readOnlySettings().proxy(index, 12).seed(index).build());
+                    minimalSettings().proxy(index, 12).seed(index).build());
             driver.snapshot(endpoints);
             for (int i = 0; i < 6; i++) {
                 inFlight.merge(driver.lastAttempt(driver.submit(READ)).endpointId(), 1, Integer::sum);
--- a/src/test/java/gaugegw/balancer/LoadBalancerApiTest.java
+++ b/src/test/java/gaugegw/balancer/LoadBalancerApiTest.java
@@ -2,7 +2,7 @@
 
 import static gaugegw.balancer.testing.TestEndpoints.endpointBuilder;
 import static gaugegw.balancer.testing.TestSettings.READ;
-import static gaugegw.balancer.testing.TestSettings.readOnlySettings;
+import static gaugegw.balancer.testing.TestSettings.minimalSettings;
 import static gaugegw.balancer.testing.TestSettings.safetyLimits;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -24,7 +24,7 @@
     @Test
     void embeddedLoadBalancerForwardsARequest() {
         var actions = new ArrayList<Action>();
-        var balancer = new EarliestDeadlineLoadBalancer(readOnlySettings()
+        var balancer = new EarliestDeadlineLoadBalancer(minimalSettings()
                 .proxy(0, 3)
                 .zone("zone-a")
                 .minEventIntervalUs(1_000)
@@ -44,11 +44,12 @@
 
     @Test
     void invalidSettingsAreNamed() {
-        assertInvalidSetting(() -> minimalSettings().proxy(0, 0).build(), "balancers");
-        assertInvalidSetting(() -> minimalSettings().requestClasses(List.of()).build(), "classes");
-        assertInvalidSetting(() -> minimalSettings().limits(null).build(), "limits");
+        assertInvalidSetting(() -> smallestValidSettings().proxy(0, 0).build(), "balancers");
         assertInvalidSetting(
-                () -> minimalSafetyLimits().initialCapacityFraction(0).build(), "cold from");
+                () -> smallestValidSettings().requestClasses(List.of()).build(), "classes");
+        assertInvalidSetting(() -> smallestValidSettings().limits(null).build(), "limits");
+        assertInvalidSetting(
+                () -> smallestValidSafetyLimits().initialCapacityFraction(0).build(), "cold from");
     }
 
     private static void assertInvalidSetting(ThrowingCallable build, String setting) {
@@ -57,11 +58,11 @@
                 .hasMessage("invalid setting: " + setting);
     }
 
-    private static BalancerSettingsBuilder minimalSettings() {
-        return readOnlySettings().minEventIntervalUs(1).requestClasses(READ);
+    private static BalancerSettingsBuilder smallestValidSettings() {
+        return minimalSettings().minEventIntervalUs(1).requestClasses(READ);
     }
 
-    private static SafetyLimitsBuilder minimalSafetyLimits() {
+    private static SafetyLimitsBuilder smallestValidSafetyLimits() {
         return safetyLimits()
                 .slowStartUs(1)
                 .overloadMultiple(1)
@@ -71,7 +72,7 @@
 
     @Test
     void requestOfAnUnknownClassIsAnError() {
-        var balancer = new EarliestDeadlineLoadBalancer(minimalSettings().build());
+        var balancer = new EarliestDeadlineLoadBalancer(smallestValidSettings().build());
         assertThatThrownBy(() ->
                         balancer.handle(1, new Event.RequestArrived("r1", "write", null, null, 1, false), action -> {}))
                 .isInstanceOf(IllegalArgumentException.class)
--- a/src/test/java/gaugegw/balancer/RandomEventSimulation.java
+++ b/src/test/java/gaugegw/balancer/RandomEventSimulation.java
@@ -123,7 +123,7 @@
                 .cancellation(random.nextBoolean())
                 .hedging(random.nextBoolean())
                 .healthChecks(random.nextBoolean())
-                .endpointsArePolled(random.nextBoolean())
+                .endpointUpdatesOnRequest(random.nextBoolean())
                 .maxAttempts(1 + random.nextInt(5))
                 .maxRetryAfterUs(1_000_000)
                 .connectTimeoutUs(random.nextInt(200_000))
--- a/src/test/java/gaugegw/balancer/SlowStartFleet.java
+++ b/src/test/java/gaugegw/balancer/SlowStartFleet.java
@@ -6,7 +6,7 @@
 import static gaugegw.balancer.testing.TestSettings.MILLIS;
 import static gaugegw.balancer.testing.TestSettings.READ;
 import static gaugegw.balancer.testing.TestSettings.SECONDS;
-import static gaugegw.balancer.testing.TestSettings.readOnlySettings;
+import static gaugegw.balancer.testing.TestSettings.minimalSettings;
 import static gaugegw.balancer.testing.TestSettings.safetyLimits;
 
 import gaugegw.balancer.api.Action;
@@ -86,7 +86,7 @@
         cumulativeTraffic = new double[proxyCount];
         double sum = 0;
         for (int index = 0; index < proxyCount; index++) {
-            proxies.add(new EarliestDeadlineLoadBalancer(readOnlySettings()
+            proxies.add(new EarliestDeadlineLoadBalancer(minimalSettings()
                     .proxy(index, proxyCount)
                     .safetyLimits(SAFETY_LIMITS)
                     .seed(random.nextLong())
--- a/src/test/java/gaugegw/balancer/SlowStartTest.java
+++ b/src/test/java/gaugegw/balancer/SlowStartTest.java
@@ -6,7 +6,7 @@
 import static gaugegw.balancer.testing.TestSettings.MILLIS;
 import static gaugegw.balancer.testing.TestSettings.READ;
 import static gaugegw.balancer.testing.TestSettings.SAFETY_LIMITS;
-import static gaugegw.balancer.testing.TestSettings.readOnlySettings;
+import static gaugegw.balancer.testing.TestSettings.minimalSettings;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gaugegw.balancer.api.Action.StartAttempt;
@@ -73,7 +73,7 @@
      */
     @Test
     void budgetFollowsTheThroughputOfSimilarEndpoints() {
-        var oneOfNine = new LoadBalancerDriver(readOnlySettings().proxy(3, 9).build());
+        var oneOfNine = new LoadBalancerDriver(minimalSettings().proxy(3, 9).build());
         Endpoint[] endpoints = endpoints(4, "s");
         oneOfNine.snapshot(endpoints);
         for (int i = 0; i < 3000; i++) {
--- a/src/test/java/gaugegw/balancer/testing/LimitsBuilder.java
+++ b/src/test/java/gaugegw/balancer/testing/LimitsBuilder.java
@@ -7,7 +7,7 @@
     private boolean cancellation = true;
     private boolean hedging;
     private boolean healthChecks;
-    private boolean endpointsArePolled;
+    private boolean endpointUpdatesOnRequest;
     private int maxAttempts = 4;
     private long maxRetryAfterUs;
     private long connectTimeoutUs;
@@ -29,8 +29,8 @@
         return this;
     }
 
-    public LimitsBuilder endpointsArePolled(boolean value) {
-        endpointsArePolled = value;
+    public LimitsBuilder endpointUpdatesOnRequest(boolean value) {
+        endpointUpdatesOnRequest = value;
         return this;
     }
 
@@ -54,7 +54,7 @@
                 cancellation,
                 hedging,
                 healthChecks,
-                endpointsArePolled,
+                endpointUpdatesOnRequest,
                 maxAttempts,
                 maxRetryAfterUs,
                 connectTimeoutUs);
--- a/src/test/java/gaugegw/balancer/testing/TestSettings.java
+++ b/src/test/java/gaugegw/balancer/testing/TestSettings.java
@@ -66,7 +66,7 @@
     }
 
     /** Starts from one proxy in zone "a" with {@link #READ} as its only class, and events 1 ms apart at least. */
-    public static BalancerSettingsBuilder readOnlySettings() {
+    public static BalancerSettingsBuilder minimalSettings() {
         return settings()
                 .minEventIntervalUs(MILLIS)
                 .requestClasses(READ)
--- a/src/test/java/gaugegw/proxy/client/RequestForwardingTest.java
+++ b/src/test/java/gaugegw/proxy/client/RequestForwardingTest.java
@@ -36,7 +36,7 @@
             RequestArrived arrival = proxy.next(RequestArrived.class);
             assertThat(arrival.requestClass()).isEqualTo("pay");
             assertThat(arrival.tenant()).isEqualTo("acme");
-            assertThat(arrival.key()).isEqualTo("u 1");
+            assertThat(arrival.affinityKey()).isEqualTo("u 1");
             assertThat(arrival.retry()).isFalse();
             assertThat(arrival.timeoutUs()).isPositive().isLessThan(1_900_000);
             assertThat(client.send(ProxyFixture.get("r2")).read().status()).isEqualTo(200);
--- a/src/test/java/gaugegw/proxy/config/ProxyConfigTest.java
+++ b/src/test/java/gaugegw/proxy/config/ProxyConfigTest.java
@@ -21,7 +21,7 @@
     void readsTheSettings() throws Exception {
         ProxyConfig config = ProxyConfig.parse(ProxyFixture.config());
         assertThat(config.settings().seed()).isEqualTo(0x92094eb940cf389aL);
-        assertThat(config.settings().limits().endpointsArePolled()).isTrue();
+        assertThat(config.settings().limits().endpointUpdatesOnRequest()).isTrue();
         assertThat(config.settings().requestClasses())
                 .extracting(RequestClass::idempotency)
                 .containsExactly(Idempotency.IDEMPOTENT, Idempotency.IDEMPOTENT_WITH_KEY, Idempotency.NOT_IDEMPOTENT);
--- a/src/test/java/gaugegw/simulator/SimulatorHostTest.java
+++ b/src/test/java/gaugegw/simulator/SimulatorHostTest.java
@@ -106,7 +106,7 @@
                         .limits(limits().cancellation(true)
                                 .hedging(false)
                                 .healthChecks(false)
-                                .endpointsArePolled(true)
+                                .endpointUpdatesOnRequest(true)
                                 .maxAttempts(4)
                                 .maxRetryAfterUs(2000000)
                                 .connectTimeoutUs(150000)
