--- a/src/main/java/gaugegw/proxy/client/ClientExchange.java
+++ b/src/main/java/gaugegw/proxy/client/ClientExchange.java
@@ -46,7 +46,7 @@
             return;
         }
         if (connection.hasClientFinished()) {
-            rejected(0);
+            sendRejection(0);
             return;
         }
         ClientRequest parsed;
@@ -88,7 +88,7 @@
     }
 
     @Override
-    public void served(UpstreamResponse served) {
+    public void sendResponse(UpstreamResponse served) {
         var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, served.body());
         ProtocolHeaders.copyEndToEnd(served.headers(), response.headers());
         HttpUtil.setContentLength(response, served.body().readableBytes());
@@ -96,7 +96,7 @@
     }
 
     @Override
-    public void rejected(long retryAfterUs) {
+    public void sendRejection(long retryAfterUs) {
         FullHttpResponse response =
                 PlainTextResponse.of(HttpResponseStatus.SERVICE_UNAVAILABLE, "not now; trying again is harmless");
         if (retryAfterUs > 0) {
@@ -106,7 +106,7 @@
     }
 
     @Override
-    public void failed() {
+    public void sendFailure() {
         respond(PlainTextResponse.of(HttpResponseStatus.BAD_GATEWAY, "failed; the request may have been executed"));
     }
 
@@ -135,7 +135,7 @@
     void clientFinished() {
         if (requestId != null) {
             context.dispatcher().clientDisconnected(requestId);
-            failed();
+            sendFailure();
         }
     }
 
--- a/src/main/java/gaugegw/proxy/config/ProxyConfig.java
+++ b/src/main/java/gaugegw/proxy/config/ProxyConfig.java
@@ -66,7 +66,7 @@
     }
 
     /** Returns the same configuration with another address to accept clients at. */
-    public ProxyConfig listeningAt(InetSocketAddress address) {
+    public ProxyConfig withListenAddress(InetSocketAddress address) {
         return new ProxyConfig(
                 name,
                 address,
--- a/src/main/java/gaugegw/proxy/discovery/CallTiming.java
+++ b/src/main/java/gaugegw/proxy/discovery/CallTiming.java
@@ -18,20 +18,21 @@
      * Time beyond its hold after which a call to a service has failed, in milliseconds. The change that a call missed must
      * be in force 3 s after its hold: that leaves time for one more call that fails.
      */
-    private static final long SERVICE_TIMEOUT_MS = TimeUnit.MICROSECONDS.toMillis(DiscoveryBackoff.CALL_TIMEOUT_US);
+    private static final long SERVICE_CALL_TIMEOUT_MS =
+            TimeUnit.MICROSECONDS.toMillis(DiscoveryBackoff.CALL_TIMEOUT_US);
     /**
      * Time beyond its hold after which a call to a local agent has failed, in milliseconds. An agent answers at once, and
      * what it has must be in force 1 s after it could be reached again: two calls that fail, and the delay of
      * {@link #AGENT_RETRY_DELAY_MS} after each, take that long.
      */
-    private static final long AGENT_TIMEOUT_MS = 450;
+    private static final long AGENT_CALL_TIMEOUT_MS = 450;
     /** Delay between a failed call to a local agent and the next, in milliseconds. */
     static final long AGENT_RETRY_DELAY_MS = 50;
 
-    /** {@link #SERVICE_TIMEOUT_MS} for the first call of a process, which has yet to load the code that it runs. */
-    static final long FIRST_SERVICE_TIMEOUT_MS = 2_000;
-    /** {@link #AGENT_TIMEOUT_MS} for the first call of a process, which has yet to load the code that it runs. */
-    private static final long FIRST_AGENT_TIMEOUT_MS = 600;
+    /** {@link #SERVICE_CALL_TIMEOUT_MS} for the first call of a process, which has yet to load the code that it runs. */
+    static final long FIRST_SERVICE_CALL_TIMEOUT_MS = 2_000;
+    /** {@link #AGENT_CALL_TIMEOUT_MS} for the first call of a process, which has yet to load the code that it runs. */
+    private static final long FIRST_AGENT_CALL_TIMEOUT_MS = 600;
 
     /** The longest hold that discovery accepts, in milliseconds. */
     private static final long MAX_HOLD_MS = 60_000;
@@ -46,9 +47,11 @@
     /** Returns the times for a service that all proxies share, or for an agent on the proxy's own machine. */
     static CallTiming of(BalancerSettings settings, boolean hasLocalAgent) {
         return hasLocalAgent
-                ? new CallTiming(FIRST_AGENT_TIMEOUT_MS, AGENT_TIMEOUT_MS, holdMs(settings, MIN_HOLD_MS))
+                ? new CallTiming(FIRST_AGENT_CALL_TIMEOUT_MS, AGENT_CALL_TIMEOUT_MS, holdMs(settings, MIN_HOLD_MS))
                 : new CallTiming(
-                        FIRST_SERVICE_TIMEOUT_MS, SERVICE_TIMEOUT_MS, holdMs(settings, serviceHoldMs(settings)));
+                        FIRST_SERVICE_CALL_TIMEOUT_MS,
+                        SERVICE_CALL_TIMEOUT_MS,
+                        holdMs(settings, serviceHoldMs(settings)));
     }
 
     private static long serviceHoldMs(BalancerSettings settings) {
--- a/src/main/java/gaugegw/proxy/discovery/EndpointWatcher.java
+++ b/src/main/java/gaugegw/proxy/discovery/EndpointWatcher.java
@@ -21,11 +21,11 @@
  * <p>When a call fails the watch has ended. The listener is notified, and the load balancer decides when to poll again, with
  * a growing backoff. A local agent is called again after a short fixed delay, without a notice.
  *
- * <p>All methods are called on the event loop, except for {@link #firstCallEnded} and {@link #hasLocalAgent}.
+ * <p>All methods are called on the event loop, except for {@link #firstCallFuture} and {@link #hasLocalAgent}.
  */
 public final class EndpointWatcher {
     /** Time within which the first call of a process to a service has a response or has failed, in milliseconds. */
-    public static final long FIRST_SERVICE_TIMEOUT_MS = CallTiming.FIRST_SERVICE_TIMEOUT_MS;
+    public static final long FIRST_SERVICE_CALL_TIMEOUT_MS = CallTiming.FIRST_SERVICE_CALL_TIMEOUT_MS;
 
     /**
      * Delay after a held call that returned without an update, in milliseconds: guards against a discovery that does not
@@ -44,7 +44,7 @@
     private final boolean hasLocalAgent;
     private final CallTiming timing;
     private final SplittableRandom random;
-    private final Promise<Void> firstCallEnded;
+    private final Promise<Void> firstCallPromise;
     private InetSocketAddress address;
     private boolean watching;
     /** Time beyond its hold after which the next call has failed, in milliseconds. */
@@ -62,7 +62,7 @@
      * Creates a watcher that makes no call yet; may be called on any thread.
      *
      * @param updateListener notified of each update and each failed poll
-     * @param address where discovery is called until {@link #moveTo}
+     * @param address where discovery is called until {@link #changeAddress}
      */
     public EndpointWatcher(
             Transport transport,
@@ -71,7 +71,7 @@
             InetSocketAddress address,
             BalancerSettings settings) {
         this.loop = transport.loop();
-        this.firstCallEnded = loop.newPromise();
+        this.firstCallPromise = loop.newPromise();
         this.transport = transport;
         this.log = log;
         this.parser = new EndpointListParser(log);
@@ -87,8 +87,8 @@
      * Returns a future that completes when the first call has ended, by a list or a failure. Until then there is no list
      * but that of before the restart. May be used on any thread.
      */
-    public Future<Void> firstCallEnded() {
-        return firstCallEnded;
+    public Future<Void> firstCallFuture() {
+        return firstCallPromise;
     }
 
     /**
@@ -130,7 +130,7 @@
      * Calls discovery at another address from now on. The cached endpoints stay in force until the new address has sent its
      * complete list; a delta would not do, as its versions need not be those of the old address.
      */
-    public void moveTo(InetSocketAddress newAddress) {
+    public void changeAddress(InetSocketAddress newAddress) {
         assert loop.inEventLoop();
         if (newAddress.equals(address)) {
             return;
@@ -186,7 +186,7 @@
             loop.schedule(() -> continueWatch(ended), EMPTY_RESPONSE_DELAY_MS, TimeUnit.MILLISECONDS);
         }
         updateListener.endpointsUpdated(list.full() ? UpdateKind.SNAPSHOT : UpdateKind.DELTA, list.endpoints());
-        firstCallEnded.trySuccess(null);
+        firstCallPromise.trySuccess(null);
     }
 
     private boolean isCached(long listVersion) {
@@ -208,7 +208,7 @@
     private void callFailed(DiscoveryFailure failure) {
         log.line("discovery: " + failure.description());
         call = null;
-        firstCallEnded.trySuccess(null);
+        firstCallPromise.trySuccess(null);
         if (hasLocalAgent) {
             loop.schedule(this::retryAgent, CallTiming.AGENT_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         } else {
--- a/src/main/java/gaugegw/proxy/dispatch/ActionExecutor.java
+++ b/src/main/java/gaugegw/proxy/dispatch/ActionExecutor.java
@@ -52,9 +52,9 @@
         } else if (action instanceof Action.SetTimer timer) {
             setTimer(timer);
         } else if (action instanceof Action.Reject reject) {
-            requests.answerIfOpen(reject.requestId(), sink -> sink.rejected(reject.retryAfterUs()));
+            requests.answerIfOpen(reject.requestId(), sink -> sink.sendRejection(reject.retryAfterUs()));
         } else if (action instanceof Action.Fail fail) {
-            requests.answerIfOpen(fail.requestId(), ResponseSink::failed);
+            requests.answerIfOpen(fail.requestId(), ResponseSink::sendFailure);
         } else if (action instanceof Action.CancelAttempt cancel) {
             attempts.cancel(cancel);
         } else if (action instanceof Action.CloseIdleConnections close) {
--- a/src/main/java/gaugegw/proxy/dispatch/AttemptStarter.java
+++ b/src/main/java/gaugegw/proxy/dispatch/AttemptStarter.java
@@ -98,7 +98,7 @@
             UpstreamResponse response) {
         request.attemptEnded();
         if (outcome == AttemptOutcome.SUCCESS && request.isOpen()) {
-            requests.answer(request, sink -> sink.served(response));
+            requests.answer(request, sink -> sink.sendResponse(response));
         } else if (response != null) {
             response.body().release();
         }
--- a/src/main/java/gaugegw/proxy/dispatch/DispatchedRequest.java
+++ b/src/main/java/gaugegw/proxy/dispatch/DispatchedRequest.java
@@ -81,7 +81,7 @@
 
     /** Sends a failure in place of a response that could not be sent. */
     void replaceResponseByFailure() {
-        responseSink.failed();
+        responseSink.sendFailure();
     }
 
     /** Ends the request without a response. */
--- a/src/main/java/gaugegw/proxy/dispatch/RequestDispatcher.java
+++ b/src/main/java/gaugegw/proxy/dispatch/RequestDispatcher.java
@@ -76,11 +76,11 @@
         assert loop.inEventLoop();
         long now = clock.now();
         if (terminating) {
-            responseSink.rejected(0);
+            responseSink.sendRejection(0);
             return;
         }
         if (now >= clientRequest.deadlineAtUs()) {
-            responseSink.failed();
+            responseSink.sendFailure();
             return;
         }
         var request = new DispatchedRequest(clientRequest, responseSink);
@@ -127,7 +127,7 @@
 
     private void failIfOpen(DispatchedRequest request) {
         if (request.isOpen()) {
-            requests.answer(request, ResponseSink::failed);
+            requests.answer(request, ResponseSink::sendFailure);
             abandon(request);
         }
     }
@@ -153,9 +153,9 @@
     /** An error in the load balancer costs the request that the event concerned, and no other. */
     private void loadBalancerFailed(Event event) {
         if (event instanceof Event.RequestArrived arrived) {
-            requests.answerIfOpen(arrived.requestId(), ResponseSink::failed);
+            requests.answerIfOpen(arrived.requestId(), ResponseSink::sendFailure);
         } else if (event instanceof Event.AttemptEnded ended) {
-            requests.answerIfOpen(ended.requestId(), ResponseSink::failed);
+            requests.answerIfOpen(ended.requestId(), ResponseSink::sendFailure);
         }
     }
 }
--- a/src/main/java/gaugegw/proxy/dispatch/ResponseSink.java
+++ b/src/main/java/gaugegw/proxy/dispatch/ResponseSink.java
@@ -3,9 +3,9 @@
 import gaugegw.proxy.upstream.UpstreamResponse;
 
 /**
- * The client's side of a request. Exactly one of {@link #served}, {@link #rejected} and {@link #failed} is called, once, or
- * none where the client has disconnected before; {@link #failed} also follows on one that threw. All calls are made on the
- * event loop.
+ * The client's side of a request. Exactly one of {@link #sendResponse}, {@link #sendRejection} and {@link #sendFailure}
+ * is called, once, or none where the client has disconnected before; {@link #sendFailure} also follows on one that threw.
+ * All calls are made on the event loop.
  */
 public interface ResponseSink {
     /**
@@ -15,15 +15,15 @@
     void detectDisconnect();
 
     /** Answers with a backend's response; the sink releases its body. */
-    void served(UpstreamResponse response);
+    void sendResponse(UpstreamResponse response);
 
     /**
      * Answers that the request was rejected and that a retry is harmless.
      *
      * @param retryAfterUs the time after which the client should retry, in microseconds; 0: no advice
      */
-    void rejected(long retryAfterUs);
+    void sendRejection(long retryAfterUs);
 
     /** Answers that the request has failed; it may have been executed. */
-    void failed();
+    void sendFailure();
 }
--- a/src/main/java/gaugegw/proxy/lifecycle/LoadClassesCommand.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/LoadClassesCommand.java
@@ -31,7 +31,7 @@
     /** Loads what sockets need: the warm-up has none. The port is a free one, as the configured one may be in use. */
     private static void listenAndStop(ProxyConfig config) {
         var freePort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        var server = new ProxyServer(config.listeningAt(freePort));
+        var server = new ProxyServer(config.withListenAddress(freePort));
         server.listen().awaitUninterruptibly();
         server.stop();
     }
--- a/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
@@ -67,7 +67,7 @@
                 dispatcher,
                 limiter,
                 settings,
-                () -> endpointWatcher.firstCallEnded().isDone() && upstreams.hasReadyEndpoint());
+                () -> endpointWatcher.firstCallFuture().isDone() && upstreams.hasReadyEndpoint());
         shutdown = new GracefulShutdown(loop, log, config, frontend, dispatcher);
     }
 
@@ -97,7 +97,7 @@
         loop.execute(() -> endpointWatcher.loadCachedEndpoints(config.cachedEndpoints()));
         if (endpointWatcher.hasLocalAgent()) {
             // A pushed update binds a proxy from its first request on, so no client may be accepted before its arrival.
-            endpointWatcher.firstCallEnded().awaitUninterruptibly();
+            endpointWatcher.firstCallFuture().awaitUninterruptibly();
         }
         return frontend.listen(transport, config.listenAddress());
     }
@@ -119,7 +119,7 @@
         InetSocketAddress address = changed.discoveryAddress();
         loop.execute(() -> {
             log.line(config.name() + ": configuration reloaded, discovery address " + address);
-            endpointWatcher.moveTo(address);
+            endpointWatcher.changeAddress(address);
         });
     }
 
--- a/src/main/java/gaugegw/proxy/lifecycle/ServeCommand.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/ServeCommand.java
@@ -22,7 +22,8 @@
      * restart whose endpoint list has never changed looks like a first start: without the limit, such a restart
      * would not be ready in time.
      */
-    static final long WARMUP_LIMIT_MS = READY_WITHIN_MS - RUNTIME_START_MS - EndpointWatcher.FIRST_SERVICE_TIMEOUT_MS;
+    static final long WARMUP_LIMIT_MS =
+            READY_WITHIN_MS - RUNTIME_START_MS - EndpointWatcher.FIRST_SERVICE_CALL_TIMEOUT_MS;
 
     private static final String CONFIG_VARIABLE = "PROXY_CONFIG";
 
--- a/src/test/java/gaugegw/proxy/lifecycle/ServeCommandTest.java
+++ b/src/test/java/gaugegw/proxy/lifecycle/ServeCommandTest.java
@@ -14,8 +14,9 @@
      */
     @Test
     void warmUpLeavesTimeForTheOtherStepsOfAStart() {
-        long readyMs =
-                ServeCommand.RUNTIME_START_MS + ServeCommand.WARMUP_LIMIT_MS + EndpointWatcher.FIRST_SERVICE_TIMEOUT_MS;
+        long readyMs = ServeCommand.RUNTIME_START_MS
+                + ServeCommand.WARMUP_LIMIT_MS
+                + EndpointWatcher.FIRST_SERVICE_CALL_TIMEOUT_MS;
         assertThat(readyMs).isLessThanOrEqualTo(6_000);
         assertThat(ServeCommand.WARMUP_LIMIT_MS).isPositive();
     }
