--- a/src/main/java/gaugegw/proxy/client/ClientConnection.java
+++ b/src/main/java/gaugegw/proxy/client/ClientConnection.java
@@ -67,7 +67,7 @@
 
     @Override
     public void handlerAdded(ChannelHandlerContext ctx) {
-        idleSinceUs = context.clock().now();
+        idleSinceUs = context.clock().nowUs();
         context.connections().add(this);
         channel.pipeline()
                 .addLast(
@@ -106,7 +106,7 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) throws Exception {
-        lastReadAtUs = context.clock().now();
+        lastReadAtUs = context.clock().nowUs();
         super.channelReadComplete(ctx);
     }
 
@@ -116,7 +116,7 @@
      */
     void detectDisconnect() {
         assert channel.eventLoop().inEventLoop();
-        if (channel.isActive() && context.clock().now() - lastReadAtUs >= RECENT_READ_US) {
+        if (channel.isActive() && context.clock().nowUs() - lastReadAtUs >= RECENT_READ_US) {
             Transport.readNow(channel);
         }
         if (!channel.isActive()) {
@@ -167,7 +167,7 @@
         assert channel.eventLoop().inEventLoop();
         ChannelFuture written = channel.writeAndFlush(response);
         hasResponded = true;
-        idleSinceUs = context.clock().now();
+        idleSinceUs = context.clock().nowUs();
         exchange = keepAlive ? pipelined.poll() : null;
         if (!keepAlive) {
             closing.closeAfter(written);
--- a/src/main/java/gaugegw/proxy/client/ClientExchange.java
+++ b/src/main/java/gaugegw/proxy/client/ClientExchange.java
@@ -124,7 +124,7 @@
     private boolean closesAfterResponse() {
         boolean wantsClose = context.drainState().isClosingAfterResponses()
                 || connection.hasClientFinished()
-                || context.limiter().nearClientLimit();
+                || context.limiter().isNearClientLimit();
         return wantsClose && connection.isLastExchange();
     }
 
--- a/src/main/java/gaugegw/proxy/client/ClientRequestHandler.java
+++ b/src/main/java/gaugegw/proxy/client/ClientRequestHandler.java
@@ -26,7 +26,7 @@
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         // Clients that disconnect or stop in the middle of a request are no fault of the proxy, and not logged.
         if (!(cause instanceof IOException) && !(cause instanceof CodecException)) {
-            log.failure("a client's connection failed", cause);
+            log.writeException("a client's connection failed", cause);
         }
         ctx.close();
     }
--- a/src/main/java/gaugegw/proxy/client/ClosingSequence.java
+++ b/src/main/java/gaugegw/proxy/client/ClosingSequence.java
@@ -129,7 +129,7 @@
 
     private void linger(SocketChannel socket) {
         state = State.LINGERING;
-        lingeringSinceUs = clock.now();
+        lingeringSinceUs = clock.nowUs();
         limiter.clientIdle(socket);
         socket.shutdownOutput();
     }
--- a/src/main/java/gaugegw/proxy/client/EventLoopDelayEstimator.java
+++ b/src/main/java/gaugegw/proxy/client/EventLoopDelayEstimator.java
@@ -25,22 +25,22 @@
 
     /** Starts the ticks; they end with the event loop. */
     void start(EventLoop loop) {
-        lastTickAtUs = clock.now();
+        lastTickAtUs = clock.nowUs();
         loop.scheduleWithFixedDelay(this::tick, TICK_INTERVAL_US, TICK_INTERVAL_US, TimeUnit.MICROSECONDS);
     }
 
     /** Returns the earliest time at which a byte that is read now may have been received, on the proxy's clock. */
     long earliestReceiptUs() {
-        return Math.min(delayedSinceUs, delayStartOr(clock.now()));
+        return Math.min(delayedSinceUs, delayStartOr(clock.nowUs()));
     }
 
     private void tick() {
         delayedSinceUs = delayStartOr(Long.MAX_VALUE);
-        lastTickAtUs = clock.now();
+        lastTickAtUs = clock.nowUs();
     }
 
     private long delayStartOr(long ifNotDelayed) {
-        boolean delayed = clock.now() - lastTickAtUs > 2 * TICK_INTERVAL_US;
+        boolean delayed = clock.nowUs() - lastTickAtUs > 2 * TICK_INTERVAL_US;
         return delayed ? lastTickAtUs + TICK_INTERVAL_US : ifNotDelayed;
     }
 }
--- a/src/main/java/gaugegw/proxy/client/Frontend.java
+++ b/src/main/java/gaugegw/proxy/client/Frontend.java
@@ -57,7 +57,7 @@
                 .scheduleWithFixedDelay(
                         this::expireConnections, EXPIRY_INTERVAL_US, EXPIRY_INTERVAL_US, TimeUnit.MICROSECONDS);
         ChannelFuture bound = transport
-                .server()
+                .serverBootstrap()
                 .clone()
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
@@ -66,14 +66,14 @@
                         channel.pipeline().addLast(new ClientConnection(context, channel));
                     }
                 })
-                .bind(transport.address(address));
+                .bind(transport.toSocketAddress(address));
         listener = bound.channel();
-        context.limiter().setListener(listener);
+        context.limiter().setListeningChannel(listener);
         return bound;
     }
 
     private void expireConnections() {
-        context.connections().expire(context.clock().now());
+        context.connections().expire(context.clock().nowUs());
     }
 
     /** From now on readiness checks fail, so that clients choose another proxy; those that come are served. */
--- a/src/main/java/gaugegw/proxy/discovery/DiscoveryCall.java
+++ b/src/main/java/gaugegw/proxy/discovery/DiscoveryCall.java
@@ -83,7 +83,7 @@
 
     private ChannelFuture connect() {
         return transport
-                .client()
+                .clientBootstrap()
                 .clone()
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, Math.toIntExact(query.timeoutMs()))
                 .handler(new ChannelInitializer<Channel>() {
@@ -97,7 +97,7 @@
                                         new ExchangeHandler());
                     }
                 })
-                .connect(transport.address(address));
+                .connect(transport.toSocketAddress(address));
     }
 
     /** Ends the call without a notice to its listener. Does nothing more where it has ended. */
--- a/src/main/java/gaugegw/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/gaugegw/proxy/discovery/EndpointListParser.java
@@ -78,7 +78,7 @@
         String text = entry.toString();
         String shortened =
                 text.length() <= MAX_LOGGED_ENTRY_CHARS ? text : text.substring(0, MAX_LOGGED_ENTRY_CHARS) + "...";
-        log.line("discovery: a malformed entry is left out: " + shortened);
+        log.write("discovery: a malformed entry is left out: " + shortened);
     }
 
     private static Optional<ListedEndpoint> endpoint(JsonNode entry) {
--- a/src/main/java/gaugegw/proxy/discovery/EndpointWatcher.java
+++ b/src/main/java/gaugegw/proxy/discovery/EndpointWatcher.java
@@ -206,7 +206,7 @@
     }
 
     private void callFailed(DiscoveryFailure failure) {
-        log.line("discovery: " + failure.description());
+        log.write("discovery: " + failure.description());
         call = null;
         firstCallEnded.trySuccess(null);
         if (hasLocalAgent) {
--- a/src/main/java/gaugegw/proxy/dispatch/ActionExecutor.java
+++ b/src/main/java/gaugegw/proxy/dispatch/ActionExecutor.java
@@ -64,7 +64,7 @@
         } else if (action instanceof Action.FetchEndpoints) {
             endpointWatcher.fetch();
         } else if (action instanceof Action.LogMessage message) {
-            log.line(message.text());
+            log.write(message.text());
         } else if (action instanceof Action.CheckHealth) {
             throw new UnsupportedOperationException("the proxy sends no health checks");
         } else {
@@ -73,7 +73,7 @@
     }
 
     private void setTimer(Action.SetTimer timer) {
-        long delayUs = Math.max(0, timer.atUs() - clock.now());
+        long delayUs = Math.max(0, timer.atUs() - clock.nowUs());
         loop.schedule(() -> events.deliver(new Event.TimerFired(timer.token())), delayUs, TimeUnit.MICROSECONDS);
     }
 }
--- a/src/main/java/gaugegw/proxy/dispatch/AttemptStarter.java
+++ b/src/main/java/gaugegw/proxy/dispatch/AttemptStarter.java
@@ -72,7 +72,7 @@
      * it where the action has 0. Not above 0 once the deadline has passed.
      */
     private long timeoutUs(DispatchedRequest request, Action.StartAttempt action) {
-        long remainingUs = request.deadlineAtUs() - clock.now();
+        long remainingUs = request.deadlineAtUs() - clock.nowUs();
         return action.timeoutUs() == 0 ? remainingUs : Math.min(action.timeoutUs(), remainingUs);
     }
 
--- a/src/main/java/gaugegw/proxy/dispatch/EventQueue.java
+++ b/src/main/java/gaugegw/proxy/dispatch/EventQueue.java
@@ -73,9 +73,9 @@
 
     private void handle(Event event) {
         try {
-            loadBalancer.handle(clock.now(), event, actions::add);
+            loadBalancer.handle(clock.nowUs(), event, actions::add);
         } catch (RuntimeException e) {
-            log.failure("the load balancer failed on " + event, e);
+            log.writeException("the load balancer failed on " + event, e);
             failureHandler.accept(event);
         }
         for (Action action : actions) {
@@ -89,7 +89,7 @@
             actionExecutor.accept(action);
         } catch (RuntimeException e) {
             // An action that fails must not take the others of its event with it.
-            log.failure("could not execute " + action, e);
+            log.writeException("could not execute " + action, e);
         }
     }
 }
--- a/src/main/java/gaugegw/proxy/dispatch/RequestDispatcher.java
+++ b/src/main/java/gaugegw/proxy/dispatch/RequestDispatcher.java
@@ -74,7 +74,7 @@
     /** Takes a request over; the sink is called now or later, unless the client disconnects before. */
     public void requestArrived(ClientRequest clientRequest, ResponseSink responseSink) {
         assert loop.inEventLoop();
-        long now = clock.now();
+        long now = clock.nowUs();
         if (terminating) {
             responseSink.rejected(0);
             return;
@@ -139,7 +139,7 @@
     private void abandon(DispatchedRequest request) {
         events.deliver(new Event.ClientDisconnected(request.id()));
         for (UpstreamAttempt attempt : request.attempts()) {
-            if (!attempt.isWritten()) {
+            if (!attempt.isRequestWritten()) {
                 attempt.abort(AttemptOutcome.NOT_SENT);
             }
         }
--- a/src/main/java/gaugegw/proxy/dispatch/RequestTable.java
+++ b/src/main/java/gaugegw/proxy/dispatch/RequestTable.java
@@ -43,7 +43,7 @@
             request.answer(response);
         } catch (RuntimeException e) {
             // Without any response the request would be lost.
-            log.failure("could not answer " + request.id(), e);
+            log.writeException("could not answer " + request.id(), e);
             request.replaceResponseByFailure();
         }
     }
--- a/src/main/java/gaugegw/proxy/lifecycle/GracefulShutdown.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/GracefulShutdown.java
@@ -71,7 +71,7 @@
 
     private void announce() {
         assert loop.inEventLoop();
-        log.line(config.name() + ": draining");
+        log.write(config.name() + ": draining");
         frontend.reportNotReady();
     }
 
@@ -92,7 +92,7 @@
     private void awaitDisconnects(long limitMs) {
         try {
             boolean all = clientsDisconnected.await(limitMs, TimeUnit.MILLISECONDS);
-            loop.submit(() -> log.line(config.name() + (all ? ": drained" : ": ends with clients still connected")))
+            loop.submit(() -> log.write(config.name() + (all ? ": drained" : ": ends with clients still connected")))
                     .awaitUninterruptibly(LOG_TIMEOUT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
@@ -118,19 +118,19 @@
     void applyConfig(ProxyConfig changed) {
         InetSocketAddress address = changed.discoveryAddress();
         loop.execute(() -> {
-            log.line(config.name() + ": configuration reloaded, discovery address " + address);
+            log.write(config.name() + ": configuration reloaded, discovery address " + address);
             endpointWatcher.moveTo(address);
         });
     }
 
     /** Logs why a new configuration can't be used; the one in force stays so. */
     void rejectConfig(Exception reason) {
-        loop.execute(() -> log.line("the new configuration is left alone: " + reason.getMessage()));
+        loop.execute(() -> log.write("the new configuration is left alone: " + reason.getMessage()));
     }
 
     /** Logs a line under the proxy's name. */
     void report(String text) {
-        loop.execute(() -> log.line(config.name() + ": " + text));
+        loop.execute(() -> log.write(config.name() + ": " + text));
     }
 
     /** Answers all requests in flight, has the clients reconnect elsewhere, and returns in time for the process to end. */
--- a/src/main/java/gaugegw/proxy/lifecycle/StubClients.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/StubClients.java
@@ -72,7 +72,7 @@
     }
 
     private void connectOne() {
-        transport.client().clone().handler(initializer()).connect(transport.address(proxyAddress));
+        transport.clientBootstrap().clone().handler(initializer()).connect(transport.toSocketAddress(proxyAddress));
     }
 
     private ChannelInitializer<Channel> initializer() {
--- a/src/main/java/gaugegw/proxy/lifecycle/Warmup.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/Warmup.java
@@ -71,10 +71,10 @@
     private void startStubServers() {
         for (int port = FIRST_BACKEND_PORT; port <= DISCOVERY_PORT; port++) {
             transport
-                    .server()
+                    .serverBootstrap()
                     .clone()
                     .childHandler(stubServer.initializer())
-                    .bind(transport.address(address(port)))
+                    .bind(transport.toSocketAddress(address(port)))
                     .syncUninterruptibly();
         }
     }
--- a/src/main/java/gaugegw/proxy/logging/RateLimitedLog.java
+++ b/src/main/java/gaugegw/proxy/logging/RateLimitedLog.java
@@ -20,7 +20,7 @@
     private int dropped;
 
     /** Writes a line, or drops it once the lines of this second are used up. Line breaks in the text become spaces. */
-    public void line(String text) {
+    public void write(String text) {
         long now = System.nanoTime() / NANOS_PER_SECOND;
         if (now != second) {
             begin(now);
@@ -33,9 +33,9 @@
     }
 
     /** Writes an unexpected error in one line, with the place where it was thrown. */
-    public void failure(String what, Throwable cause) {
+    public void writeException(String what, Throwable cause) {
         StackTraceElement[] trace = cause.getStackTrace();
-        line(what + ": " + cause + (trace.length > 0 ? " at " + trace[0] : ""));
+        write(what + ": " + cause + (trace.length > 0 ? " at " + trace[0] : ""));
     }
 
     private void begin(long newSecond) {
--- a/src/main/java/gaugegw/proxy/transport/Clock.java
+++ b/src/main/java/gaugegw/proxy/transport/Clock.java
@@ -16,7 +16,7 @@
     private final long startNanos = System.nanoTime();
 
     /** Returns the Unix time in microseconds. */
-    public long now() {
+    public long nowUs() {
         return startUnixUs + (System.nanoTime() - startNanos) / NANOS_PER_MICRO;
     }
 }
--- a/src/main/java/gaugegw/proxy/transport/ConnectionLimiter.java
+++ b/src/main/java/gaugegw/proxy/transport/ConnectionLimiter.java
@@ -10,8 +10,8 @@
  * closed with their responses and idle ones are evicted. While nothing can be evicted no client is accepted, and new
  * ones wait in the listener's backlog.
  *
- * <p>All methods but {@link #setListener} are called on the event loop. Connections are counted from their opening until
- * their descriptors are released; each reports here whether it is busy, and so whether it may be evicted.
+ * <p>All methods but {@link #setListeningChannel} are called on the event loop. Connections are counted from their
+ * opening until their descriptors are released; each reports here whether it is busy, and so whether it may be evicted.
  */
 public final class ConnectionLimiter {
     /** Time in which the first request of a new connection arrives: one evicted sooner would fail that request. */
@@ -46,7 +46,7 @@
     }
 
     /** Sets the listening channel, which accepts only while there is room for all that it may accept in one turn. */
-    public void setListener(Channel channel) {
+    public void setListeningChannel(Channel channel) {
         listener = channel;
     }
 
@@ -84,7 +84,7 @@
      * Returns whether clients' connections are to be closed with their responses, as they run short. Unlike an eviction,
      * a close with a response never crosses the client's next request.
      */
-    public boolean nearClientLimit() {
+    public boolean isNearClientLimit() {
         return clients > budget.maxClients() * NEAR_CLIENT_LIMIT_PERCENT / 100;
     }
 
--- a/src/main/java/gaugegw/proxy/transport/InProcessTransport.java
+++ b/src/main/java/gaugegw/proxy/transport/InProcessTransport.java
@@ -28,23 +28,23 @@
     }
 
     @Override
-    public ServerBootstrap server() {
+    public ServerBootstrap serverBootstrap() {
         return server;
     }
 
     @Override
-    public Bootstrap client() {
+    public Bootstrap clientBootstrap() {
         return client;
     }
 
     @Override
-    public SocketAddress address(InetSocketAddress address) {
+    public SocketAddress toSocketAddress(InetSocketAddress address) {
         return new LocalAddress(addressPrefix + address);
     }
 
     /** The peers are stubs of this process, which send nothing that was not requested. */
     @Override
-    public boolean isSilent(Channel channel) {
+    public boolean hasNothingToRead(Channel channel) {
         return true;
     }
 }
--- a/src/main/java/gaugegw/proxy/transport/SocketTransport.java
+++ b/src/main/java/gaugegw/proxy/transport/SocketTransport.java
@@ -34,7 +34,7 @@
     private final EventLoop loop;
     private final ServerBootstrap server;
     private final Bootstrap client;
-    /** Receives the byte that {@link #isSilent} may read; its content is not used. */
+    /** Receives the byte that {@link #hasNothingToRead} may read; its content is not used. */
     private final ByteBuffer probe = ByteBuffer.allocateDirect(1);
 
     SocketTransport() {
@@ -78,22 +78,22 @@
     }
 
     @Override
-    public ServerBootstrap server() {
+    public ServerBootstrap serverBootstrap() {
         return server;
     }
 
     @Override
-    public Bootstrap client() {
+    public Bootstrap clientBootstrap() {
         return client;
     }
 
     @Override
-    public SocketAddress address(InetSocketAddress address) {
+    public SocketAddress toSocketAddress(InetSocketAddress address) {
         return address;
     }
 
     @Override
-    public boolean isSilent(Channel channel) {
+    public boolean hasNothingToRead(Channel channel) {
         assert loop.inEventLoop();
         try {
             return socket(channel).read(probe.clear()) == 0;
--- a/src/main/java/gaugegw/proxy/transport/Transport.java
+++ b/src/main/java/gaugegw/proxy/transport/Transport.java
@@ -39,17 +39,17 @@
     EventLoop loop();
 
     /** Returns the template of listening channels; to be cloned. */
-    ServerBootstrap server();
+    ServerBootstrap serverBootstrap();
 
     /** Returns the template of connecting channels; to be cloned. */
-    Bootstrap client();
+    Bootstrap clientBootstrap();
 
     /** Returns the address by which this transport reaches what is configured under an IP address and port. */
-    SocketAddress address(InetSocketAddress address);
+    SocketAddress toSocketAddress(InetSocketAddress address);
 
     /**
      * Returns whether nothing has arrived, neither bytes nor an end, on a connection where nothing is expected and that
      * the loop is yet to read. Where something has, part of it may have been consumed: the caller closes the connection.
      */
-    boolean isSilent(Channel channel);
+    boolean hasNothingToRead(Channel channel);
 }
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamAttempt.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamAttempt.java
@@ -70,7 +70,7 @@
     public void start() {
         assert loop.inEventLoop();
         state = State.CONNECTING;
-        startedAtUs = clock.now();
+        startedAtUs = clock.nowUs();
         endpoint.attemptStarted(this);
         timeoutTimer = loop.schedule(this::timeOut, timeoutUs, TimeUnit.MICROSECONDS);
         Promise<Channel> acquired = loop.newPromise();
@@ -79,7 +79,7 @@
     }
 
     /** Returns whether the last byte of the request has been written: only then may the backend have executed it. */
-    public boolean isWritten() {
+    public boolean isRequestWritten() {
         return written;
     }
 
@@ -154,7 +154,7 @@
                 request.uri(),
                 request.body().retainedDuplicate());
         ProtocolHeaders.copyEndToEnd(request.headers(), message.headers());
-        message.headers().set(ProtocolHeaders.TIMEOUT, Math.max(1, startedAtUs + timeoutUs - clock.now()) + "u");
+        message.headers().set(ProtocolHeaders.TIMEOUT, Math.max(1, startedAtUs + timeoutUs - clock.nowUs()) + "u");
         if (!request.method().equals(HttpMethod.GET) || message.content().isReadable()) {
             HttpUtil.setContentLength(message, message.content().readableBytes());
         }
@@ -174,6 +174,6 @@
     private void report(AttemptOutcome outcome, UpstreamResponse response) {
         timeoutTimer.cancel(false);
         endpoint.attemptEnded(this);
-        listener.ended(outcome, clock.now() - startedAtUs, response);
+        listener.ended(outcome, clock.nowUs() - startedAtUs, response);
     }
 }
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
@@ -45,7 +45,8 @@
             long connectTimeoutUs) {
         long idleTimeoutUs = backendIdleTimeoutUs * IDLE_TIMEOUT_PERCENT / 100;
         int connectTimeoutMs = (int) Math.max(1, TimeUnit.MICROSECONDS.toMillis(connectTimeoutUs));
-        Bootstrap bootstrap = transport.client().clone().option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs);
+        Bootstrap bootstrap =
+                transport.clientBootstrap().clone().option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs);
         context = new UpstreamContext(clock, transport, limiter, bootstrap, idleTimeoutUs, new LearnedIdleLimit());
     }
 
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamConnectionHandler.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamConnectionHandler.java
@@ -59,12 +59,12 @@
     /** Takes the attempt whose request is written next. */
     void begin(UpstreamAttempt next) {
         attempt = next;
-        idleBeforeAttemptUs = idleSinceUs == 0 ? 0 : context.clock().now() - idleSinceUs;
+        idleBeforeAttemptUs = idleSinceUs == 0 ? 0 : context.clock().nowUs() - idleSinceUs;
         decoder.resetReceivedBytes();
     }
 
     void markIdle() {
-        idleSinceUs = context.clock().now();
+        idleSinceUs = context.clock().nowUs();
     }
 
     long idleSinceUs() {
@@ -113,7 +113,7 @@
         attempt = null;
         stallDetector.stop();
         context.idleLimit().record(idleBeforeAttemptUs, false);
-        boolean valid = ResponseClassifier.isValid(received, completed.isWritten());
+        boolean valid = ResponseClassifier.isValid(received, completed.isRequestWritten());
         boolean reusable = valid && !receivedUnexpectedResponse && !decoder.hasUndecodedBytes();
         decoder.resetReceivedBytes();
         // Before the listener is called: a retry that it starts may find no capacity for another connection.
@@ -183,7 +183,7 @@
         if (!failed.isEnded()) {
             context.idleLimit().record(idleBeforeAttemptUs, decoder.receivedBytes() == 0);
         }
-        failed.complete(failed.isWritten() ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED, null);
+        failed.complete(failed.isRequestWritten() ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED, null);
     }
 
     @Override
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamConnectionPool.java
@@ -37,7 +37,7 @@
     }
 
     private static Bootstrap bootstrap(UpstreamContext context, UpstreamEndpoint endpoint) {
-        return context.bootstrap().clone().remoteAddress(context.transport().address(endpoint.address()));
+        return context.bootstrap().clone().remoteAddress(context.transport().toSocketAddress(endpoint.address()));
     }
 
     /**
@@ -47,7 +47,7 @@
      * @return whether there is one; if not, the attempt opens a connection
      */
     boolean reserveIdle() {
-        long nowUs = context.clock().now();
+        long nowUs = context.clock().nowUs();
         while (!idle.isEmpty() && idleForTooLong(idle.getFirst(), nowUs)) {
             idle.removeFirst().close();
         }
@@ -80,7 +80,7 @@
     @Override
     protected Channel pollChannel() {
         UpstreamConnectionHandler connection =
-                reserved != null ? reserved : firstUsable(context.clock().now());
+                reserved != null ? reserved : firstUsable(context.clock().nowUs());
         reserved = null;
         if (connection == null) {
             return null;
@@ -99,7 +99,7 @@
                 continue;
             }
             // After a pause of the event loop bytes may have been received that its handlers have not seen yet.
-            if (context.transport().isSilent(connection.channel())) {
+            if (context.transport().hasNothingToRead(connection.channel())) {
                 return connection;
             }
             latestFirst.remove();
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamEndpoint.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamEndpoint.java
@@ -50,6 +50,6 @@
 
     /** Returns a copy of the attempts in flight whose request has not been written completely, in their order. */
     List<UpstreamAttempt> unwrittenAttempts() {
-        return attemptsInFlight.stream().filter(a -> !a.isWritten()).toList();
+        return attemptsInFlight.stream().filter(a -> !a.isRequestWritten()).toList();
     }
 }
--- a/src/test/java/gaugegw/proxy/discovery/DiscoveryCallFailureTest.java
+++ b/src/test/java/gaugegw/proxy/discovery/DiscoveryCallFailureTest.java
@@ -158,25 +158,25 @@
     }
 
     /** A transport whose connecting channels are others. */
-    private record TransportWithClient(Transport other, Bootstrap client) implements Transport {
+    private record TransportWithClient(Transport other, Bootstrap clientBootstrap) implements Transport {
         @Override
         public EventLoop loop() {
             return other.loop();
         }
 
         @Override
-        public ServerBootstrap server() {
-            return other.server();
+        public ServerBootstrap serverBootstrap() {
+            return other.serverBootstrap();
         }
 
         @Override
-        public SocketAddress address(InetSocketAddress address) {
-            return other.address(address);
+        public SocketAddress toSocketAddress(InetSocketAddress address) {
+            return other.toSocketAddress(address);
         }
 
         @Override
-        public boolean isSilent(Channel channel) {
-            return other.isSilent(channel);
+        public boolean hasNothingToRead(Channel channel) {
+            return other.hasNothingToRead(channel);
         }
     }
 }
--- a/src/test/java/gaugegw/proxy/transport/ConnectionLimiterTest.java
+++ b/src/test/java/gaugegw/proxy/transport/ConnectionLimiterTest.java
@@ -23,7 +23,7 @@
 
     /** Connects clients for as long as the proxy accepts any, so many in each turn of the loop. */
     private void connectClients(int perTurn) {
-        limiter.setListener(listener);
+        limiter.setListeningChannel(listener);
         while (listener.config().isAutoRead()) {
             for (int i = 0; i < perTurn; i++) {
                 var client = new EmbeddedChannel();
