--- a/src/test/java/gaugegw/proxy/client/ClientConnectionClosingTest.java
+++ b/src/test/java/gaugegw/proxy/client/ClientConnectionClosingTest.java
@@ -12,7 +12,7 @@
 
 /** Connections of clients that the proxy closes, and when. */
 class ClientConnectionClosingTest {
-    private static final ProxyFixture.Module SILENT = (event, actions) -> {};
+    private static final ProxyFixture.StubLoadBalancer SILENT = (event, actions) -> {};
 
     /**
      * A client connects and sends no complete request, or only a byte now and then. Its connection is closed after a
@@ -22,11 +22,11 @@
     @ValueSource(strings = {"", "GET /api HT", "POST /api HTTP/1.1\r\nContent-Length: 900\r\n\r\nhalf"})
     void closesConnectionWithoutACompleteRequest(String partialRequest) throws Exception {
         try (var proxy = new ProxyFixture(SILENT);
-                var client = proxy.client()) {
+                var client = proxy.connectClient()) {
             long connectedNs = System.nanoTime();
             client.send(partialRequest);
             if (!partialRequest.isEmpty()) {
-                ScriptedServer.background(() -> {
+                ScriptedServer.runInBackground(() -> {
                     for (int i = 0; i < 30; i++) {
                         sleepBetweenBytes();
                         client.send("x");
@@ -34,7 +34,7 @@
                 });
                 assertThat(client.read().status()).isEqualTo(408);
             }
-            assertThat(client.endedQuietly()).isTrue();
+            assertThat(client.awaitCloseSkippingData()).isTrue();
             assertThat(System.nanoTime() - connectedNs).isGreaterThan(2_000_000_000L);
         }
     }
@@ -51,10 +51,10 @@
     @Test
     void closesIdleConnection() throws Exception {
         try (var proxy = new ProxyFixture(SILENT);
-                var client = proxy.client()) {
+                var client = proxy.connectClient()) {
             assertThat(client.send("GET /ready HTTP/1.1\r\n\r\n").read().status())
                     .isEqualTo(503);
-            assertThat(client.ended()).isTrue();
+            assertThat(client.awaitClose()).isTrue();
         }
     }
 
@@ -64,7 +64,7 @@
     @Test
     void closesConnectionThatSendsWithoutEnd() throws Exception {
         try (var proxy = new ProxyFixture(SILENT);
-                var client = proxy.client()) {
+                var client = proxy.connectClient()) {
             client.send(ProxyFixture.post("r1", "").replace("Content-Length: 0", "Content-Length: 60000000"));
             assertThat(client.read().status()).isEqualTo(413);
             String chunk = "x".repeat(65_536);
@@ -89,10 +89,10 @@
     @Test
     void rejectsBodyOverTheLimitWithoutReset() throws Exception {
         try (var proxy = new ProxyFixture(SILENT);
-                var client = proxy.client()) {
+                var client = proxy.connectClient()) {
             client.send(ProxyFixture.post("r1", "x".repeat(70_000)));
             assertThat(client.read().status()).isEqualTo(413);
-            assertThat(client.ended()).isTrue();
+            assertThat(client.awaitClose()).isTrue();
         }
     }
 
@@ -100,12 +100,12 @@
     @Test
     void closesConnectionAtTheClientsRequest() throws Exception {
         try (var proxy = new ProxyFixture(SILENT);
-                var client = proxy.client()) {
+                var client = proxy.connectClient()) {
             RawConnection.Message response = client.send("GET /other HTTP/1.1\r\nConnection: close\r\n\r\n")
                     .read();
             assertThat(response.status()).isEqualTo(404);
             assertThat(response.header("Connection")).isEqualTo("close");
-            assertThat(client.ended()).isTrue();
+            assertThat(client.awaitClose()).isTrue();
         }
     }
 }
--- a/src/test/java/gaugegw/proxy/client/ClientDisconnectTest.java
+++ b/src/test/java/gaugegw/proxy/client/ClientDisconnectTest.java
@@ -21,7 +21,7 @@
 
 /** Clients that close or reset their connection before they have a response. */
 class ClientDisconnectTest {
-    private static final ProxyFixture.Module SILENT = (event, actions) -> {};
+    private static final ProxyFixture.StubLoadBalancer SILENT = (event, actions) -> {};
 
     /** Closes or resets a client's connection. */
     static void disconnect(RawConnection client, boolean reset) throws IOException {
@@ -33,18 +33,18 @@
 
     /** Edits the configuration: long time limits, and one endpoint {@code s0} that can't be connected to. */
     static UnaryOperator<String> withEndpoint(FullBacklog backend) {
-        String endpoints = "\"servers\":[" + ProxyFixture.entry("s0", backend.address(), "ready") + "]";
+        String endpoints = "\"servers\":[" + ProxyFixture.endpointJson("s0", backend.address(), "ready") + "]";
         return config -> ProxyFixture.LONG_TIMEOUTS.apply(config).replace("\"servers\":[]", endpoints);
     }
 
     @Test
     void decisionModuleIsNotifiedOfADisconnect() throws Exception {
         try (var proxy = new ProxyFixture(SILENT)) {
-            try (var client = proxy.client()) {
+            try (var client = proxy.connectClient()) {
                 client.send(ProxyFixture.get("r1"));
-                assertThat(proxy.next(RequestArrived.class).requestId()).isEqualTo("r1");
+                assertThat(proxy.awaitEvent(RequestArrived.class).requestId()).isEqualTo("r1");
             }
-            assertThat(proxy.next(ClientDisconnected.class).requestId()).isEqualTo("r1");
+            assertThat(proxy.awaitEvent(ClientDisconnected.class).requestId()).isEqualTo("r1");
         }
     }
 
@@ -60,9 +60,9 @@
                 var proxy = ProxyFixture.withRealLoadBalancer(ProxyFixture.LONG_TIMEOUTS, backend)) {
             var attempts = new ArrayList<RawConnection>();
             for (int i = 0; clients.size() < proxy.startedAttempts.size() + 2; i++) {
-                clients.add(proxy.client().send(ProxyFixture.getWithLongTimeout("r" + i)));
-                proxy.next(RequestArrived.class);
-                proxy.settle();
+                clients.add(proxy.connectClient().send(ProxyFixture.getWithLongTimeout("r" + i)));
+                proxy.awaitEvent(RequestArrived.class);
+                proxy.awaitInputHandled();
             }
             List<String> sent =
                     proxy.startedAttempts.stream().map(s -> s.requestId()).toList();
@@ -74,14 +74,14 @@
                 queued++;
             }
             disconnect(clients.get(queued), reset);
-            assertThat(proxy.next(ClientDisconnected.class).requestId()).isEqualTo("r" + queued);
+            assertThat(proxy.awaitEvent(ClientDisconnected.class).requestId()).isEqualTo("r" + queued);
             var attempted = new ArrayList<String>(sent);
             for (int i = 0; i < attempts.size(); i++) {
                 RawConnection attempt = attempts.get(i);
                 attempt.read();
-                attempt.send(ScriptedServer.answer("200 OK", "x", "Connection: close"));
-                proxy.next(AttemptEnded.class);
-                proxy.settle();
+                attempt.send(ScriptedServer.response("200 OK", "x", "Connection: close"));
+                proxy.awaitEvent(AttemptEnded.class);
+                proxy.awaitInputHandled();
                 while (attempted.size() < proxy.startedAttempts.size()) {
                     attempted.add(List.copyOf(proxy.startedAttempts)
                             .get(attempted.size())
@@ -95,7 +95,7 @@
                     .doesNotHaveDuplicates();
             // Nothing of it remains: neither the request nor its connection.
             assertThat(proxy.openRequests()).isZero();
-            ScriptedServer.until(() -> proxy.connectedClients() == clients.size() - 1);
+            ScriptedServer.await(() -> proxy.connectedClients() == clients.size() - 1);
         } finally {
             for (RawConnection client : clients) {
                 client.close();
@@ -112,19 +112,19 @@
     void attemptThatStillConnectsIsNotSentAfterADisconnect(boolean reset) throws Exception {
         try (var full = new FullBacklog();
                 var proxy = new ProxyFixture(
-                        ProxyFixture.watching("s1"),
+                        ProxyFixture.singleAttemptWithWatch("s1"),
                         ProxyFixture.LONG_TIMEOUTS.andThen(c -> c.replace("\"cancel\":true", "\"cancel\":false"))
                                 ::apply);
-                var client = proxy.client()) {
-            proxy.list(ProxyFixture.entry("s1", full.address(), "ready"));
+                var client = proxy.connectClient()) {
+            proxy.answerWatchCall(ProxyFixture.endpointJson("s1", full.address(), "ready"));
             client.send(ProxyFixture.getWithLongTimeout("r1"));
-            proxy.next(RequestArrived.class);
+            proxy.awaitEvent(RequestArrived.class);
             disconnect(client, reset);
-            assertThat(proxy.next(ClientDisconnected.class).requestId()).isEqualTo("r1");
-            AttemptEnded ended = proxy.next(AttemptEnded.class);
+            assertThat(proxy.awaitEvent(ClientDisconnected.class).requestId()).isEqualTo("r1");
+            AttemptEnded ended = proxy.awaitEvent(AttemptEnded.class);
             assertThat(ended.outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
             assertThat(ended.requestEnded()).isTrue();
-            proxy.settle();
+            proxy.awaitInputHandled();
             assertThat(proxy.openRequests()).isZero();
         }
     }
@@ -142,11 +142,11 @@
                             }
                         },
                         withEndpoint(full))) {
-            RawConnection client = proxy.client().send(ProxyFixture.getWithLongTimeout("r1"));
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
+            RawConnection client = proxy.connectClient().send(ProxyFixture.getWithLongTimeout("r1"));
+            assertThat(proxy.awaitEvent(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
             client.close();
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
-            ScriptedServer.until(() -> proxy.openRequests() == 0);
+            assertThat(proxy.awaitEvent(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
+            ScriptedServer.await(() -> proxy.openRequests() == 0);
         }
     }
 
@@ -161,17 +161,17 @@
                         c -> ProxyFixture.LONG_TIMEOUTS.apply(c).replace("\"cancel\":true", "\"cancel\":false"),
                         backend)) {
             RawConnection attempt;
-            try (var client = proxy.client()) {
+            try (var client = proxy.connectClient()) {
                 client.send(ProxyFixture.getWithLongTimeout("r1"));
                 attempt = backend.accept();
                 attempt.read();
             }
-            proxy.next(ClientDisconnected.class);
+            proxy.awaitEvent(ClientDisconnected.class);
             attempt.send(ScriptedServer.ok("x"));
-            AttemptEnded ended = proxy.next(AttemptEnded.class);
+            AttemptEnded ended = proxy.awaitEvent(AttemptEnded.class);
             assertThat(ended.outcome()).isEqualTo(AttemptOutcome.SUCCESS);
             assertThat(ended.requestEnded()).isTrue();
-            proxy.settle();
+            proxy.awaitInputHandled();
             assertThat(proxy.openRequests()).isZero();
         }
     }
--- a/src/test/java/gaugegw/proxy/client/ClientHalfCloseTest.java
+++ b/src/test/java/gaugegw/proxy/client/ClientHalfCloseTest.java
@@ -10,7 +10,7 @@
 
 /** Clients that end their sending alone: they may still read, so each complete request is responded to. */
 class ClientHalfCloseTest {
-    private static final ProxyFixture.Module SILENT = (event, actions) -> {};
+    private static final ProxyFixture.StubLoadBalancer SILENT = (event, actions) -> {};
 
     /**
      * A client ends its sending while its request is in flight. It may have gone, so no more work is done for it; but
@@ -19,14 +19,14 @@
     @Test
     void requestInFlightIsFailedAfterHalfClose() throws Exception {
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
-                var client = proxy.client()) {
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
+                var client = proxy.connectClient()) {
             client.send(ProxyFixture.getWithLongTimeout("r1"));
             backend.accept().read();
             client.socket.shutdownOutput();
             assertThat(client.read().status()).isEqualTo(502);
-            assertThat(client.ended()).isTrue();
-            assertThat(proxy.next(ClientDisconnected.class).requestId()).isEqualTo("r1");
+            assertThat(client.awaitClose()).isTrue();
+            assertThat(proxy.awaitEvent(ClientDisconnected.class).requestId()).isEqualTo("r1");
         }
     }
 
@@ -37,13 +37,13 @@
     @Test
     void pipelinedRequestIsRejectedAfterHalfClose() throws Exception {
         try (var proxy = new ProxyFixture(SILENT);
-                var client = proxy.client()) {
+                var client = proxy.connectClient()) {
             client.send(ProxyFixture.getWithLongTimeout("r1") + ProxyFixture.getWithLongTimeout("r2"));
-            proxy.next(RequestArrived.class);
+            proxy.awaitEvent(RequestArrived.class);
             client.socket.shutdownOutput();
             assertThat(client.read().status()).isEqualTo(502);
             assertThat(client.read().status()).isEqualTo(503);
-            assertThat(client.ended()).isTrue();
+            assertThat(client.awaitClose()).isTrue();
             assertThat(proxy.events).noneMatch(RequestArrived.class::isInstance);
         }
     }
--- a/src/test/java/gaugegw/proxy/client/RequestForwardingTest.java
+++ b/src/test/java/gaugegw/proxy/client/RequestForwardingTest.java
@@ -17,14 +17,14 @@
     @Test
     void forwardsRequestAndResponseUnchanged() throws Exception {
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
-                var client = proxy.client()) {
-            BlockingQueue<RawConnection.Message> received = backend.always(ScriptedServer.answer(
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
+                var client = proxy.connectClient()) {
+            BlockingQueue<RawConnection.Message> received = backend.respondToAll(ScriptedServer.response(
                     "200 OK", "an\r\n\r\nswer", "Content-Type: a/b", "Connection: X-Hop", "X-Hop: 1"));
             RawConnection.Message response =
                     client.send(ProxyFixture.post("r1", "bo\r\n\0dy")).read();
-            RawConnection.Message request = ScriptedServer.next(received);
-            assertThat(request.first()).isEqualTo("POST /api?k=u%201&x HTTP/1.1");
+            RawConnection.Message request = ScriptedServer.awaitNext(received);
+            assertThat(request.firstLine()).isEqualTo("POST /api?k=u%201&x HTTP/1.1");
             assertThat(request.body()).isEqualTo("bo\r\n\0dy");
             assertThat(request.header("X-Request-ID")).isEqualTo("r1");
             assertThat(request.header("Idempotency-Key")).isEqualTo("5c0f");
@@ -33,7 +33,7 @@
             assertThat(response.body()).isEqualTo("an\r\n\r\nswer");
             assertThat(response.header("Content-Type")).isEqualTo("a/b");
             assertThat(response.header("X-Hop")).isNull();
-            RequestArrived arrival = proxy.next(RequestArrived.class);
+            RequestArrived arrival = proxy.awaitEvent(RequestArrived.class);
             assertThat(arrival.requestClass()).isEqualTo("pay");
             assertThat(arrival.tenant()).isEqualTo("acme");
             assertThat(arrival.key()).isEqualTo("u 1");
@@ -47,11 +47,11 @@
     void forwardsBodiesOfTheMaximumSize() throws Exception {
         String body = "0123456789abcdef".repeat(4_096);
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
-                var client = proxy.client()) {
-            BlockingQueue<RawConnection.Message> received = backend.always(ScriptedServer.ok(body));
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
+                var client = proxy.connectClient()) {
+            BlockingQueue<RawConnection.Message> received = backend.respondToAll(ScriptedServer.ok(body));
             assertThat(client.send(ProxyFixture.post("r1", body)).read().body()).isEqualTo(body);
-            assertThat(ScriptedServer.next(received).body()).isEqualTo(body);
+            assertThat(ScriptedServer.awaitNext(received).body()).isEqualTo(body);
         }
     }
 
@@ -63,7 +63,7 @@
                         actions.accept(new Reject(a.requestId(), a.requestId().equals("r1") ? 250_000 : 0));
                     }
                 });
-                var client = proxy.client()) {
+                var client = proxy.connectClient()) {
             RawConnection.Message response = client.send(ProxyFixture.get("r1")).read();
             assertThat(response.status()).isEqualTo(503);
             assertThat(response.header("Retry-After")).isEqualTo("0.250");
@@ -85,18 +85,18 @@
                         ScriptedServer.await(release);
                     }
                 });
-                var one = proxy.client();
-                var two = proxy.client()) {
+                var one = proxy.connectClient();
+                var two = proxy.connectClient()) {
             two.send("GET /ready HTTP/1.1\r\n\r\n").read();
             one.send(ProxyFixture.get("r1"));
-            proxy.next(RequestArrived.class);
+            proxy.awaitEvent(RequestArrived.class);
             two.send(ProxyFixture.get("r2"));
             long sentNs = System.nanoTime();
             while (System.nanoTime() - sentNs < 400_000_000) {
                 Thread.sleep(10);
             }
             release.countDown();
-            assertThat(proxy.next(RequestArrived.class).timeoutUs()).isLessThan(1_500_000);
+            assertThat(proxy.awaitEvent(RequestArrived.class).timeoutUs()).isLessThan(1_500_000);
         }
     }
 }
--- a/src/test/java/gaugegw/proxy/client/RequestPipeliningTest.java
+++ b/src/test/java/gaugegw/proxy/client/RequestPipeliningTest.java
@@ -13,7 +13,7 @@
 
 /** Requests that a client sends before it has the responses to those before. */
 class RequestPipeliningTest {
-    private static final ProxyFixture.Module SILENT = (event, actions) -> {};
+    private static final ProxyFixture.StubLoadBalancer SILENT = (event, actions) -> {};
 
     /**
      * Each request has one response, in the order of the requests; of two responses by the decision module the first
@@ -27,7 +27,7 @@
                         actions.accept(new Fail(a.requestId()));
                     }
                 });
-                var client = proxy.client()) {
+                var client = proxy.connectClient()) {
             client.send(ProxyFixture.get("r1") + "GET /ready HTTP/1.1\r\n\r\n" + ProxyFixture.get("r3"));
             assertThat(client.read().body()).startsWith("not now");
             assertThat(client.read().body()).startsWith("not ready");
@@ -45,8 +45,8 @@
         int requests = 400;
         int served = 3;
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
-                var client = proxy.client()) {
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
+                var client = proxy.connectClient()) {
             var all = new StringBuilder();
             for (int i = 0; i < requests; i++) {
                 all.append(ProxyFixture.get("r" + i));
@@ -55,16 +55,16 @@
             RawConnection attempt = backend.accept();
             attempt.read();
             // From here on all of them have been read.
-            proxy.settle();
-            backend.always(ScriptedServer.ok("x"));
-            attempt.send(ScriptedServer.answer("200 OK", "x", "Connection: close"));
+            proxy.awaitInputHandled();
+            backend.respondToAll(ScriptedServer.ok("x"));
+            attempt.send(ScriptedServer.response("200 OK", "x", "Connection: close"));
             for (int i = 0; i < served; i++) {
                 assertThat(client.read().status()).isEqualTo(200);
             }
             for (int i = served; i < requests; i++) {
                 assertThat(client.read().status()).isEqualTo(429);
             }
-            assertThat(client.endedQuietly()).isTrue();
+            assertThat(client.awaitCloseSkippingData()).isTrue();
         }
     }
 
@@ -74,15 +74,15 @@
     @Test
     void malformedRequestIsRejectedAfterTheResponsesBefore() throws Exception {
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
-                var client = proxy.client()) {
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
+                var client = proxy.connectClient()) {
             client.send(ProxyFixture.get("r1") + "RUBBISH\r\n\r\n" + ProxyFixture.get("r2"));
             RawConnection attempt = backend.accept();
             attempt.read();
             attempt.send(ScriptedServer.ok("x"));
             assertThat(client.read().body()).isEqualTo("x");
             assertThat(client.read().status()).isEqualTo(400);
-            assertThat(client.ended()).isTrue();
+            assertThat(client.awaitClose()).isTrue();
         }
     }
 
@@ -93,13 +93,13 @@
     @Timeout(30)
     void requestsBehindAnInvalidOneAreRejected() throws Exception {
         try (var proxy = new ProxyFixture(SILENT);
-                var client = proxy.client()) {
+                var client = proxy.connectClient()) {
             client.send(
                     ProxyFixture.get("r1").replace("acme", "nobody") + ProxyFixture.get("r2") + ProxyFixture.get("r3"));
             assertThat(client.read().status()).isEqualTo(400);
             assertThat(client.read().status()).isEqualTo(429);
             assertThat(client.read().status()).isEqualTo(429);
-            assertThat(client.ended()).isTrue();
+            assertThat(client.awaitClose()).isTrue();
             assertThat(proxy.events).noneMatch(RequestArrived.class::isInstance);
         }
     }
@@ -112,15 +112,15 @@
     @Timeout(30)
     void unsupportedExpectationIsRejectedInOrder() throws Exception {
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
-                var client = proxy.client()) {
-            RawConnection attempt = backend.attemptFor(client, "r1");
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
+                var client = proxy.connectClient()) {
+            RawConnection attempt = backend.sendAndAcceptAttempt(client, "r1");
             client.send(ProxyFixture.post("r2", "x").replace("Host:", "Expect: a-miracle\r\nHost:"));
-            proxy.settle();
+            proxy.awaitInputHandled();
             attempt.send(ScriptedServer.ok("x"));
             assertThat(client.read().body()).isEqualTo("x");
             assertThat(client.read().status()).isEqualTo(417);
-            assertThat(client.ended()).isTrue();
+            assertThat(client.awaitClose()).isTrue();
         }
     }
 }
--- a/src/test/java/gaugegw/proxy/client/RequestValidationTest.java
+++ b/src/test/java/gaugegw/proxy/client/RequestValidationTest.java
@@ -13,7 +13,7 @@
 
 /** Requests that are rejected before they are dispatched. */
 class RequestValidationTest {
-    private static final ProxyFixture.Module SILENT = (event, actions) -> {};
+    private static final ProxyFixture.StubLoadBalancer SILENT = (event, actions) -> {};
 
     /**
      * A request is invalid. It must not reach a backend or the decision module, and its connection is closed: a faulty
@@ -41,17 +41,20 @@
             })
     void rejectsInvalidRequests(String valid, String invalid, int status) throws Exception {
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
-                var client = proxy.client()) {
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
+                var client = proxy.connectClient()) {
             assertThat(client.send(ProxyFixture.get("r1").replace(valid, invalid))
                             .read()
                             .status())
                     .isEqualTo(status);
-            assertThat(client.ended()).isTrue();
-            backend.always(ScriptedServer.ok("x"));
-            assertThat(proxy.client().send(ProxyFixture.get("good")).read().status())
+            assertThat(client.awaitClose()).isTrue();
+            backend.respondToAll(ScriptedServer.ok("x"));
+            assertThat(proxy.connectClient()
+                            .send(ProxyFixture.get("good"))
+                            .read()
+                            .status())
                     .isEqualTo(200);
-            assertThat(proxy.next(RequestArrived.class).requestId()).isEqualTo("good");
+            assertThat(proxy.awaitEvent(RequestArrived.class).requestId()).isEqualTo("good");
         }
     }
 
@@ -77,13 +80,13 @@
             })
     void rejectsAmbiguousFraming(String framingHeaders) throws Exception {
         try (var proxy = new ProxyFixture(SILENT);
-                var client = proxy.client()) {
+                var client = proxy.connectClient()) {
             String head = ProxyFixture.post("r1", "").replace("Content-Length: 0", framingHeaders);
             assertThat(client.send(head + "0\r\n\r\n" + ProxyFixture.get("hidden"))
                             .read()
                             .status())
                     .isBetween(400, 499);
-            assertThat(client.ended()).isTrue();
+            assertThat(client.awaitClose()).isTrue();
             assertThat(proxy.events).noneMatch(RequestArrived.class::isInstance);
         }
     }
@@ -92,13 +95,13 @@
     @Test
     void rejectsChunkedBodyOfHttp10() throws Exception {
         try (var proxy = new ProxyFixture(SILENT);
-                var client = proxy.client()) {
+                var client = proxy.connectClient()) {
             client.send(ProxyFixture.post("r1", "")
                             .replace("HTTP/1.1", "HTTP/1.0")
                             .replace("Content-Length: 0", "Transfer-Encoding: chunked")
                     + "0\r\n\r\n");
             assertThat(client.read().status()).isEqualTo(400);
-            assertThat(client.ended()).isTrue();
+            assertThat(client.awaitClose()).isTrue();
         }
     }
 
@@ -106,9 +109,9 @@
     @Test
     void rejectsControlCharactersInTheTarget() throws Exception {
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend)) {
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend)) {
             for (String target : List.of("/api?k=a\rb", "/api?k=a\0b", "/api?k=a\u007fb")) {
-                try (var client = proxy.client()) {
+                try (var client = proxy.connectClient()) {
                     assertThat(client.send(ProxyFixture.get("r1").replace("/api?k=u1", target))
                                     .read()
                                     .status())
@@ -123,7 +126,7 @@
     @Test
     void rejectsMissingIdempotencyKey() throws Exception {
         try (var proxy = new ProxyFixture(SILENT);
-                var client = proxy.client()) {
+                var client = proxy.connectClient()) {
             assertThat(client.send(ProxyFixture.post("r1", "x").replace("Idempotency-Key", "X-Other"))
                             .read()
                             .status())
@@ -135,10 +138,10 @@
     @Test
     void rejectsIdThatIsInFlight() throws Exception {
         try (var proxy = new ProxyFixture(SILENT);
-                var one = proxy.client();
-                var two = proxy.client()) {
+                var one = proxy.connectClient();
+                var two = proxy.connectClient()) {
             one.send(ProxyFixture.get("r1"));
-            proxy.next(RequestArrived.class);
+            proxy.awaitEvent(RequestArrived.class);
             assertThat(two.send(ProxyFixture.get("r1")).read().status()).isEqualTo(409);
         }
     }
--- a/src/test/java/gaugegw/proxy/client/UnreadDisconnectTest.java
+++ b/src/test/java/gaugegw/proxy/client/UnreadDisconnectTest.java
@@ -26,7 +26,7 @@
  * to begin. No attempt may begin for a client that has gone.
  */
 class UnreadDisconnectTest {
-    private static final ProxyFixture.Module SILENT = (event, actions) -> {};
+    private static final ProxyFixture.StubLoadBalancer SILENT = (event, actions) -> {};
 
     /** Blocks the event loop until a latch is released. */
     private static void block(CountDownLatch latch) {
@@ -45,7 +45,7 @@
             ClientDisconnectTest.disconnect(client, kind.equals("reset"));
         }
         long startNs = System.nanoTime();
-        ScriptedServer.until(() -> System.nanoTime() - startNs > 40_000_000);
+        ScriptedServer.await(() -> System.nanoTime() - startNs > 40_000_000);
     }
 
     /**
@@ -57,7 +57,7 @@
     @Timeout(30)
     void noAttemptBeginsWhileACloseIsUnread(String id, String kind) throws Exception {
         var release = new CountDownLatch(1);
-        ProxyFixture.Module module = (event, actions) -> {
+        ProxyFixture.StubLoadBalancer module = (event, actions) -> {
             if (event instanceof RequestArrived a && !a.requestId().equals("r2")) {
                 actions.accept(new StartAttempt(a.requestId(), "s0", 0));
             } else if (event instanceof AttemptEnded e && e.outcome() == AttemptOutcome.ERROR) {
@@ -67,26 +67,27 @@
         };
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(module, ProxyFixture.LONG_TIMEOUTS, backend);
-                var first = proxy.client().send(ProxyFixture.getWithLongTimeout("r1"));
-                var queued = proxy.client()) {
+                var first = proxy.connectClient().send(ProxyFixture.getWithLongTimeout("r1"));
+                var queued = proxy.connectClient()) {
             RawConnection attempt = backend.accept();
             attempt.read();
             queued.send(ProxyFixture.getWithLongTimeout("r2"));
-            while (!proxy.next(RequestArrived.class).requestId().equals("r2")) {
+            while (!proxy.awaitEvent(RequestArrived.class).requestId().equals("r2")) {
                 // skip the request before
             }
             try {
-                attempt.send(ScriptedServer.answer("500 Internal Server Error", "x"));
-                proxy.next(AttemptEnded.class);
+                attempt.send(ScriptedServer.response("500 Internal Server Error", "x"));
+                proxy.awaitEvent(AttemptEnded.class);
                 disconnectUnread(id.equals("r1") ? first : queued, kind);
             } finally {
                 release.countDown();
             }
-            try (var next = proxy.client()) {
+            try (var next = proxy.connectClient()) {
                 next.send(ProxyFixture.getWithLongTimeout("next"));
                 assertThat(attempt.read().header("X-Request-ID")).isEqualTo("next");
-                assertThat(proxy.next(ClientDisconnected.class).requestId()).isEqualTo(id);
-                AttemptEnded ended = proxy.next(AttemptEnded.class);
+                assertThat(proxy.awaitEvent(ClientDisconnected.class).requestId())
+                        .isEqualTo(id);
+                AttemptEnded ended = proxy.awaitEvent(AttemptEnded.class);
                 assertThat(ended.requestId()).isEqualTo(id);
                 assertThat(ended.outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
                 assertThat(ended.requestEnded()).isTrue();
@@ -103,32 +104,32 @@
     @Timeout(30)
     void nothingIsWrittenToANewConnectionWhileACloseIsUnread(String kind) throws Exception {
         var release = new CountDownLatch(1);
-        ProxyFixture.Module module = (event, actions) -> {
+        ProxyFixture.StubLoadBalancer module = (event, actions) -> {
             if (event instanceof RequestArrived a && a.requestId().equals("hold")) {
                 block(release);
             } else {
-                ProxyFixture.sendTo("s0").handle(event, actions);
+                ProxyFixture.singleAttemptTo("s0").handle(event, actions);
             }
         };
         try (var backend = new FullBacklog();
                 var proxy = new ProxyFixture(module, ClientDisconnectTest.withEndpoint(backend));
-                var client = proxy.client().send(ProxyFixture.getWithLongTimeout("r1"));
-                var holding = proxy.client()) {
-            proxy.next(RequestArrived.class);
-            proxy.settle();
+                var client = proxy.connectClient().send(ProxyFixture.getWithLongTimeout("r1"));
+                var holding = proxy.connectClient()) {
+            proxy.awaitEvent(RequestArrived.class);
+            proxy.awaitInputHandled();
             RawConnection attempt;
             try {
                 holding.send(ProxyFixture.getWithLongTimeout("hold"));
-                proxy.next(RequestArrived.class);
-                attempt = backend.admit();
+                proxy.awaitEvent(RequestArrived.class);
+                attempt = backend.acceptWaitingClient();
                 disconnectUnread(client, kind);
             } finally {
                 release.countDown();
             }
             try (attempt) {
-                assertThat(attempt.ended()).isTrue();
+                assertThat(attempt.awaitClose()).isTrue();
             }
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
+            assertThat(proxy.awaitEvent(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
         }
     }
 
@@ -139,7 +140,7 @@
     @Test
     void requestWhoseClientHasDisconnectedIsNotDispatched() throws Exception {
         var release = new CountDownLatch(1);
-        ProxyFixture.Module module = (event, actions) -> {
+        ProxyFixture.StubLoadBalancer module = (event, actions) -> {
             if (event instanceof RequestArrived a && a.requestId().equals("first")) {
                 ScriptedServer.await(release);
             }
@@ -148,20 +149,20 @@
             }
         };
         try (var proxy = new ProxyFixture(module);
-                var first = proxy.client()) {
+                var first = proxy.connectClient()) {
             first.send(ProxyFixture.get("first"));
-            proxy.next(RequestArrived.class);
+            proxy.awaitEvent(RequestArrived.class);
             for (int i = 0; i < 5; i++) {
-                try (var disconnected = proxy.client()) {
+                try (var disconnected = proxy.connectClient()) {
                     disconnected.send(ProxyFixture.get("gone" + i));
                 }
             }
-            try (var late = proxy.client()) {
+            try (var late = proxy.connectClient()) {
                 late.send(ProxyFixture.get("late"));
                 release.countDown();
                 assertThat(late.read().status()).isEqualTo(503);
             }
-            assertThat(proxy.next(RequestArrived.class).requestId()).isEqualTo("late");
+            assertThat(proxy.awaitEvent(RequestArrived.class).requestId()).isEqualTo("late");
         }
     }
 
@@ -173,9 +174,9 @@
     @ValueSource(booleans = {false, true})
     void disconnectBehindUnservedBytesIsNoticed(boolean reset) throws Exception {
         try (var proxy = new ProxyFixture(SILENT);
-                var client = proxy.client()) {
+                var client = proxy.connectClient()) {
             client.send(ProxyFixture.getWithLongTimeout("r1") + "RUBBISH\r\n\r\n");
-            proxy.next(RequestArrived.class);
+            proxy.awaitEvent(RequestArrived.class);
             String chunk = "x".repeat(65_536);
             try {
                 for (int i = 0; i < 16; i++) {
@@ -185,8 +186,8 @@
                 // The proxy may close the connection before all of it is written.
             }
             ClientDisconnectTest.disconnect(client, reset);
-            assertThat(proxy.next(ClientDisconnected.class).requestId()).isEqualTo("r1");
-            ScriptedServer.until(() -> proxy.connectedClients() == 0);
+            assertThat(proxy.awaitEvent(ClientDisconnected.class).requestId()).isEqualTo("r1");
+            ScriptedServer.await(() -> proxy.connectedClients() == 0);
         }
     }
 }
--- a/src/test/java/gaugegw/proxy/config/ConfigFileWatcherTest.java
+++ b/src/test/java/gaugegw/proxy/config/ConfigFileWatcherTest.java
@@ -27,7 +27,7 @@
 
     @BeforeEach
     void watch() throws Exception {
-        file = Files.writeString(folder.resolve("config.json"), ProxyFixture.config(FIRST));
+        file = Files.writeString(folder.resolve("config.json"), ProxyFixture.configText(FIRST));
         watcher = new ConfigFileWatcher(file, ProxyConfig.read(file), new ConfigFileWatcher.Listener() {
             @Override
             public void configChanged(ProxyConfig config) {
@@ -45,7 +45,7 @@
     void appliesEachReplacementOnce() throws Exception {
         poll(3);
         assertThat(applied).isEmpty();
-        Files.writeString(file, ProxyFixture.config(SECOND));
+        Files.writeString(file, ProxyFixture.configText(SECOND));
         poll(3);
         assertThat(applied).containsExactly(SECOND);
     }
@@ -56,7 +56,7 @@
      */
     @Test
     void rereadsAnInvalidFileUntilItIsValid() throws Exception {
-        String config = ProxyFixture.config(SECOND);
+        String config = ProxyFixture.configText(SECOND);
         Files.delete(file);
         poll(3);
         assertThat(rejected).hasSize(1);
@@ -78,7 +78,7 @@
     void appliesAWriteThatLeavesSizeAndModificationTimeUnchanged() throws Exception {
         watcher.poll();
         FileTime modified = Files.getLastModifiedTime(file);
-        Files.writeString(file, ProxyFixture.config(SECOND));
+        Files.writeString(file, ProxyFixture.configText(SECOND));
         Files.setLastModifiedTime(file, modified);
         watcher.poll();
         assertThat(applied).containsExactly(SECOND);
--- a/src/test/java/gaugegw/proxy/config/JsonTreesTest.java
+++ b/src/test/java/gaugegw/proxy/config/JsonTreesTest.java
@@ -28,9 +28,9 @@
             })
     void readsWhatTheMapperReads(String text) throws Exception {
         // As text: an int and a long of the same value are different nodes.
-        assertThat(ProxyFixture.json(text).toString())
+        assertThat(ProxyFixture.parseJson(text).toString())
                 .isEqualTo(new ObjectMapper().readTree(text).toString());
-        assertThat(ProxyFixture.json(text).getNodeType())
+        assertThat(ProxyFixture.parseJson(text).getNodeType())
                 .isEqualTo(new ObjectMapper().readTree(text).getNodeType());
     }
 
@@ -38,12 +38,13 @@
     @ParameterizedTest
     @ValueSource(strings = {"{", "[1", "{\"a\"}", "{\"a\":}", "]", "}", "nul", "[1,]", "{\"a\":1", "not JSON"})
     void rejectsMalformedDocuments(String text) {
-        assertThatThrownBy(() -> ProxyFixture.json(text)).isInstanceOf(JsonProcessingException.class);
+        assertThatThrownBy(() -> ProxyFixture.parseJson(text)).isInstanceOf(JsonProcessingException.class);
     }
 
     /** A document nests a hundred thousand arrays. It is rejected before the recursion overflows the stack. */
     @Test
     void limitsNesting() {
-        assertThatThrownBy(() -> ProxyFixture.json("[".repeat(100_000))).isInstanceOf(JsonProcessingException.class);
+        assertThatThrownBy(() -> ProxyFixture.parseJson("[".repeat(100_000)))
+                .isInstanceOf(JsonProcessingException.class);
     }
 }
--- a/src/test/java/gaugegw/proxy/config/ProxyConfigTest.java
+++ b/src/test/java/gaugegw/proxy/config/ProxyConfigTest.java
@@ -19,7 +19,7 @@
 class ProxyConfigTest {
     @Test
     void readsTheSettings() throws Exception {
-        ProxyConfig config = ProxyConfig.parse(ProxyFixture.config());
+        ProxyConfig config = ProxyConfig.parse(ProxyFixture.configTree());
         assertThat(config.settings().seed()).isEqualTo(0x92094eb940cf389aL);
         assertThat(config.settings().limits().endpointsArePolled()).isTrue();
         assertThat(config.settings().requestClasses())
@@ -32,7 +32,7 @@
 
     @Test
     void aCachedListThatHasChangedMarksARestart() throws Exception {
-        ObjectNode json = ProxyFixture.config();
+        ObjectNode json = ProxyFixture.configTree();
         assertThat(ProxyConfig.parse(json).isFirstStart()).isFalse();
         ((ObjectNode) json.get("known")).put("version", 0);
         assertThat(ProxyConfig.parse(json).isFirstStart()).isTrue();
@@ -53,7 +53,7 @@
                 "settings|'x'|'settings': an object is wanted"
             })
     void namesTheInvalidField(String field, String value, String message) throws Exception {
-        assertThatThrownBy(() -> ProxyConfig.parse(ProxyFixture.config().put(field, value)))
+        assertThatThrownBy(() -> ProxyConfig.parse(ProxyFixture.configTree().put(field, value)))
                 .isInstanceOf(InvalidConfigException.class)
                 .hasMessage(message);
     }
@@ -61,11 +61,11 @@
     /** A setting is missing, or has a value that is none of those allowed. The message names it by its path. */
     @Test
     void namesTheInvalidSetting() throws Exception {
-        ObjectNode withoutSetting = ProxyFixture.config();
+        ObjectNode withoutSetting = ProxyFixture.configTree();
         ((ObjectNode) withoutSetting.path("settings").path("bounds")).remove("conn_idle_us");
         assertThatThrownBy(() -> ProxyConfig.parse(withoutSetting))
                 .hasMessage("'settings': missing setting 'bounds.conn_idle_us'");
-        ObjectNode withUnknownValue = ProxyFixture.config();
+        ObjectNode withUnknownValue = ProxyFixture.configTree();
         ((ObjectNode) withUnknownValue.path("settings").path("profiles").get(1)).put("effect", "sometimes");
         assertThatThrownBy(() -> ProxyConfig.parse(withUnknownValue))
                 .hasMessage("'settings': unknown value 'sometimes' in setting 'profiles.1.effect'");
@@ -74,7 +74,7 @@
     /** The error's parts are for code; the message, which tests above fix, is for the operators. */
     @Test
     void givesFieldFoundAndExpectedSeparately() throws Exception {
-        assertThatThrownBy(() -> ProxyConfig.parse(ProxyFixture.config().put("listen", "8080")))
+        assertThatThrownBy(() -> ProxyConfig.parse(ProxyFixture.configTree().put("listen", "8080")))
                 .isInstanceOfSatisfying(InvalidConfigException.class, e -> {
                     assertThat(e.field()).isEqualTo("listen");
                     assertThat(e.found()).isEqualTo("8080");
--- a/src/test/java/gaugegw/proxy/discovery/DiscoveryAddressChangeTest.java
+++ b/src/test/java/gaugegw/proxy/discovery/DiscoveryAddressChangeTest.java
@@ -21,20 +21,21 @@
                 var proxy = new ProxyFixture(
                         (event, actions) -> {
                             watching().handle(event, actions);
-                            ProxyFixture.sendTo("s0").handle(event, actions);
+                            ProxyFixture.singleAttemptTo("s0").handle(event, actions);
                         },
                         backend);
-                var client = proxy.client()) {
-            backend.always(ScriptedServer.ok("x"));
+                var client = proxy.connectClient()) {
+            backend.respondToAll(ScriptedServer.ok("x"));
             RawConnection oldCall = proxy.discovery.accept();
             oldCall.read();
-            proxy.reload(ProxyFixture.config(newDiscovery.address()));
-            assertThat(oldCall.ended()).isTrue();
+            proxy.reload(ProxyFixture.configText(newDiscovery.address()));
+            assertThat(oldCall.awaitClose()).isTrue();
             RawConnection call = newDiscovery.accept();
-            assertThat(call.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
+            assertThat(call.read().firstLine()).isEqualTo("GET /v1/endpoints HTTP/1.1");
             assertThat(client.send(ProxyFixture.get("r1")).read().status()).isEqualTo(200);
-            call.send(ScriptedServer.ok(ProxyFixture.list(3, true, ProxyFixture.entry("s7", "127.0.0.1:1", "ready"))));
-            assertThat(newDiscovery.accept().read().first()).contains("?from=3&");
+            call.send(ScriptedServer.ok(
+                    ProxyFixture.endpointListJson(3, true, ProxyFixture.endpointJson("s7", "127.0.0.1:1", "ready"))));
+            assertThat(newDiscovery.accept().read().firstLine()).contains("?from=3&");
             assertThat(client.send(ProxyFixture.get("r2")).read().status()).isEqualTo(502);
         }
     }
@@ -50,17 +51,17 @@
             RawConnection call = proxy.discovery.accept();
             call.read();
             proxy.reload("{\"discovery\":");
-            proxy.reload(ProxyFixture.config("nowhere"));
-            call.send(ScriptedServer.ok(ProxyFixture.list(42, false)));
+            proxy.reload(ProxyFixture.configText("nowhere"));
+            call.send(ScriptedServer.ok(ProxyFixture.endpointListJson(42, false)));
             RawConnection nextCall = proxy.discovery.accept();
-            assertThat(nextCall.read().first()).contains("?from=42&");
-            proxy.reload(ProxyFixture.config("127.0.0.1:1"));
-            proxy.reload(ProxyFixture.config(newDiscovery.address()));
+            assertThat(nextCall.read().firstLine()).contains("?from=42&");
+            proxy.reload(ProxyFixture.configText("127.0.0.1:1"));
+            proxy.reload(ProxyFixture.configText(newDiscovery.address()));
             RawConnection newCall = newDiscovery.accept();
             newCall.read();
-            proxy.reload(ProxyFixture.config(newDiscovery.address()));
-            newCall.send(ScriptedServer.ok(ProxyFixture.list(7, true)));
-            assertThat(newDiscovery.accept().read().first()).contains("?from=7&");
+            proxy.reload(ProxyFixture.configText(newDiscovery.address()));
+            newCall.send(ScriptedServer.ok(ProxyFixture.endpointListJson(7, true)));
+            assertThat(newDiscovery.accept().read().firstLine()).contains("?from=7&");
         }
     }
 }
--- a/src/test/java/gaugegw/proxy/discovery/DiscoveryCallFailureTest.java
+++ b/src/test/java/gaugegw/proxy/discovery/DiscoveryCallFailureTest.java
@@ -49,14 +49,14 @@
             })
     void notifiesOfAFailedCall(String response) throws Exception {
         try (var proxy = new ProxyFixture(watching())) {
-            proxy.next(EndpointUpdate.class);
+            proxy.awaitEvent(EndpointUpdate.class);
             try (RawConnection call = proxy.discovery.accept()) {
                 call.read();
                 call.send(response);
             }
-            assertThat(proxy.next(EndpointUpdate.class))
+            assertThat(proxy.awaitEvent(EndpointUpdate.class))
                     .isEqualTo(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
-            assertThat(proxy.discovery.accept().read().first()).contains("from=41&hold_ms=0");
+            assertThat(proxy.discovery.accept().read().firstLine()).contains("from=41&hold_ms=0");
         }
     }
 
@@ -67,11 +67,11 @@
     @Test
     void aCallToASilentDiscoveryTimesOut() throws Exception {
         try (var proxy = new ProxyFixture(watching())) {
-            proxy.next(EndpointUpdate.class);
+            proxy.awaitEvent(EndpointUpdate.class);
             RawConnection call = proxy.discovery.accept();
             call.read();
-            assertThat(call.ended()).isTrue();
-            assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.POLL_FAILED);
+            assertThat(call.awaitClose()).isTrue();
+            assertThat(proxy.awaitEvent(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.POLL_FAILED);
         }
     }
 
@@ -84,11 +84,11 @@
         try (var proxy = new ProxyFixture(watchingWithTimer(UpdateKind.DELTA, 4_100))) {
             RawConnection firstCall = proxy.discovery.accept();
             firstCall.read();
-            firstCall.send(ScriptedServer.ok(ProxyFixture.list(42, false)));
+            firstCall.send(ScriptedServer.ok(ProxyFixture.endpointListJson(42, false)));
             proxy.discovery.accept().read();
-            assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
-            assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.DELTA);
-            Event nextEvent = ScriptedServer.next(proxy.events);
+            assertThat(proxy.awaitEvent(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
+            assertThat(proxy.awaitEvent(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.DELTA);
+            Event nextEvent = ScriptedServer.awaitNext(proxy.events);
             assertThat(nextEvent).isEqualTo(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
         }
     }
@@ -104,12 +104,12 @@
     void aCallWithoutAHoldTimesOutSoon(String response) throws Exception {
         try (var proxy = new ProxyFixture(watchingWithTimer(UpdateKind.POLL_FAILED, 1_700))) {
             proxy.discovery.accept().close();
-            assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
-            assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.POLL_FAILED);
+            assertThat(proxy.awaitEvent(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
+            assertThat(proxy.awaitEvent(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.POLL_FAILED);
             RawConnection call = proxy.discovery.accept();
             call.read();
             call.send(response);
-            Event nextEvent = ScriptedServer.next(proxy.events);
+            Event nextEvent = ScriptedServer.awaitNext(proxy.events);
             assertThat(nextEvent).isEqualTo(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
         }
     }
@@ -122,11 +122,11 @@
     void aStalledResponseEndsTheHold() throws Exception {
         try (var proxy = new ProxyFixture(
                 watchingWithTimer(UpdateKind.DELTA, 6_000), c -> c.replace("\"balancers\":2", "\"balancers\":100"))) {
-            RawConnection watch = proxy.list();
-            assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
-            assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.DELTA);
+            RawConnection watch = proxy.answerWatchCall();
+            assertThat(proxy.awaitEvent(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
+            assertThat(proxy.awaitEvent(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.DELTA);
             watch.send(STALLED_RESPONSE);
-            Event nextEvent = ScriptedServer.next(proxy.events);
+            Event nextEvent = ScriptedServer.awaitNext(proxy.events);
             assertThat(nextEvent).isEqualTo(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
         }
     }
@@ -145,12 +145,13 @@
         var transport = new TransportWithClient(
                 sockets, new Bootstrap().group(sockets.loop()).channelFactory(limitedFactory));
         try (var discovery = new ScriptedServer()) {
-            ProxyConfig config = ProxyConfig.parse(ProxyFixture.json(ProxyFixture.config(discovery.address())));
+            ProxyConfig config =
+                    ProxyConfig.parse(ProxyFixture.parseJson(ProxyFixture.configText(discovery.address())));
             var server =
                     new ProxyServer(config, (now, event, actions) -> watching().handle(event, actions), transport);
             try {
                 server.start();
-                assertThat(discovery.accept().read().first()).contains("?from=41&");
+                assertThat(discovery.accept().read().firstLine()).contains("?from=41&");
             } finally {
                 server.stop();
             }
--- a/src/test/java/gaugegw/proxy/discovery/DiscoveryTestSupport.java
+++ b/src/test/java/gaugegw/proxy/discovery/DiscoveryTestSupport.java
@@ -14,7 +14,7 @@
     private DiscoveryTestSupport() {}
 
     /** Watches the endpoints from its first event on, and again whenever a poll has failed. */
-    static ProxyFixture.Module watching() {
+    static ProxyFixture.StubLoadBalancer watching() {
         return (event, actions) -> {
             if (event instanceof EndpointUpdate update
                     && (update.kind() == UpdateKind.CACHED || update.kind() == UpdateKind.POLL_FAILED)) {
@@ -27,7 +27,7 @@
      * As {@link #watching()}, with a timer that starts at the first update of a kind: the test then sees whether the event
      * that it waits for is there before the timer fires.
      */
-    static ProxyFixture.Module watchingWithTimer(UpdateKind startKind, long timerMs) {
+    static ProxyFixture.StubLoadBalancer watchingWithTimer(UpdateKind startKind, long timerMs) {
         var timerSet = new boolean[1];
         return (event, actions) -> {
             watching().handle(event, actions);
--- a/src/test/java/gaugegw/proxy/discovery/EndpointWatcherTest.java
+++ b/src/test/java/gaugegw/proxy/discovery/EndpointWatcherTest.java
@@ -23,7 +23,7 @@
 /** The watch on the endpoint list, with discovery played by the test. */
 class EndpointWatcherTest {
     private static RawConnection.Message readiness(ProxyFixture proxy) throws Exception {
-        try (var client = proxy.client()) {
+        try (var client = proxy.connectClient()) {
             return client.send("GET /ready HTTP/1.1\r\n\r\n").read();
         }
     }
@@ -36,22 +36,23 @@
     void isReadyAfterTheFirstResponseWhileThereIsAnEndpoint() throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(watching(), backend)) {
-            EndpointUpdate cached = proxy.next(EndpointUpdate.class);
+            EndpointUpdate cached = proxy.awaitEvent(EndpointUpdate.class);
             assertThat(cached.kind()).isEqualTo(UpdateKind.CACHED);
             assertThat(cached.endpoints())
                     .containsExactly(new Endpoint("s0", EndpointState.READY, "m", "a", 1, 7_000, 1));
             RawConnection call = proxy.discovery.accept();
-            assertThat(call.read().first()).isEqualTo("GET /v1/endpoints?from=41&hold_ms=0 HTTP/1.1");
+            assertThat(call.read().firstLine()).isEqualTo("GET /v1/endpoints?from=41&hold_ms=0 HTTP/1.1");
             assertThat(readiness(proxy).status()).isEqualTo(503);
-            call.send(ScriptedServer.ok(ProxyFixture.list(41, false)));
+            call.send(ScriptedServer.ok(ProxyFixture.endpointListJson(41, false)));
             // The watch continues at once, with a hold: a short one, so that a discovery that has vanished is noticed.
             RawConnection nextCall = proxy.discovery.accept();
-            assertThat(nextCall.read().first()).matches("GET /v1/endpoints\\?from=41&hold_ms=1[1-5]\\d{2} HTTP/1.1");
+            assertThat(nextCall.read().firstLine())
+                    .matches("GET /v1/endpoints\\?from=41&hold_ms=1[1-5]\\d{2} HTTP/1.1");
             assertThat(readiness(proxy).status()).isEqualTo(200);
-            nextCall.send(ScriptedServer.ok(
-                    ProxyFixture.list(43, false, ProxyFixture.entry("s0", backend.address(), "gone"))));
+            nextCall.send(ScriptedServer.ok(ProxyFixture.endpointListJson(
+                    43, false, ProxyFixture.endpointJson("s0", backend.address(), "gone"))));
             RawConnection lastCall = proxy.discovery.accept();
-            assertThat(lastCall.read().first()).contains("from=43&");
+            assertThat(lastCall.read().firstLine()).contains("from=43&");
             assertThat(readiness(proxy).status()).isEqualTo(503);
         }
     }
@@ -70,17 +71,17 @@
         "on_request,'rubbish'"
     })
     void isReadyByItsCachedListWhereTheFirstCallFails(String registryMode, String response) throws Exception {
-        ProxyFixture.Module watchingOnce = (event, actions) -> {
+        ProxyFixture.StubLoadBalancer watchingOnce = (event, actions) -> {
             if (event instanceof EndpointUpdate update && update.kind() == UpdateKind.CACHED) {
                 actions.accept(new WatchEndpoints(true));
             }
         };
         try (var backend = new ScriptedServer();
                 var discovery = new ScriptedServer()) {
-            discovery.always(response);
+            discovery.respondToAll(response);
             try (var proxy = new ProxyFixture(
                     watchingOnce, c -> discoveryAt(discovery, c).replace("on_request", registryMode), backend)) {
-                ScriptedServer.until(() -> isReady(proxy));
+                ScriptedServer.await(() -> isReady(proxy));
             }
         }
     }
@@ -96,16 +97,17 @@
     @Test
     void notifiesOfSnapshotsAndDeltas() throws Exception {
         try (var proxy = new ProxyFixture(watching())) {
-            proxy.next(EndpointUpdate.class);
+            proxy.awaitEvent(EndpointUpdate.class);
             RawConnection call = proxy.discovery.accept();
             call.read();
-            call.send(ScriptedServer.ok(ProxyFixture.list(42, true, ProxyFixture.entry("s7", "127.0.0.1:1", "ready"))));
-            assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.SNAPSHOT);
+            call.send(ScriptedServer.ok(
+                    ProxyFixture.endpointListJson(42, true, ProxyFixture.endpointJson("s7", "127.0.0.1:1", "ready"))));
+            assertThat(proxy.awaitEvent(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.SNAPSHOT);
             call = proxy.discovery.accept();
             call.read();
-            call.send(ScriptedServer.ok(
-                    ProxyFixture.list(43, false, ProxyFixture.entry("s7", "127.0.0.1:1", "draining"))));
-            EndpointUpdate delta = proxy.next(EndpointUpdate.class);
+            call.send(ScriptedServer.ok(ProxyFixture.endpointListJson(
+                    43, false, ProxyFixture.endpointJson("s7", "127.0.0.1:1", "draining"))));
+            EndpointUpdate delta = proxy.awaitEvent(EndpointUpdate.class);
             assertThat(delta.kind()).isEqualTo(UpdateKind.DELTA);
             assertThat(delta.endpoints()).extracting(Endpoint::state).containsExactly(EndpointState.DRAINING);
         }
@@ -118,15 +120,16 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void doesNotCallInATightLoopWhereDiscoveryHoldsNoCalls(boolean full) throws Exception {
-        String[] entries = full ? new String[] {ProxyFixture.entry("s7", "127.0.0.1:1", "ready")} : new String[0];
+        String[] entries =
+                full ? new String[] {ProxyFixture.endpointJson("s7", "127.0.0.1:1", "ready")} : new String[0];
         try (var proxy = new ProxyFixture(watching())) {
             RawConnection firstCall = proxy.discovery.accept();
             firstCall.read();
-            firstCall.send(ScriptedServer.ok(ProxyFixture.list(41, false)));
+            firstCall.send(ScriptedServer.ok(ProxyFixture.endpointListJson(41, false)));
             RawConnection secondCall = proxy.discovery.accept();
             secondCall.read();
             long respondedNanos = System.nanoTime();
-            secondCall.send(ScriptedServer.ok(ProxyFixture.list(41, full, entries)));
+            secondCall.send(ScriptedServer.ok(ProxyFixture.endpointListJson(41, full, entries)));
             proxy.discovery.accept().read();
             assertThat(System.nanoTime() - respondedNanos).isGreaterThan(40_000_000);
         }
@@ -139,17 +142,18 @@
     @Test
     void fetchesTheCompleteListAfterAVersionGap() throws Exception {
         try (var proxy = new ProxyFixture(watching())) {
-            RawConnection watch = proxy.list();
-            watch.send(
-                    ScriptedServer.ok(ProxyFixture.list(7, false, ProxyFixture.entry("s7", "127.0.0.1:1", "ready"))));
+            RawConnection watch = proxy.answerWatchCall();
+            watch.send(ScriptedServer.ok(
+                    ProxyFixture.endpointListJson(7, false, ProxyFixture.endpointJson("s7", "127.0.0.1:1", "ready"))));
             RawConnection fetch = proxy.discovery.accept();
-            assertThat(fetch.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
-            fetch.send(
-                    ScriptedServer.ok(ProxyFixture.list(8, false, ProxyFixture.entry("s7", "127.0.0.1:1", "ready"))));
+            assertThat(fetch.read().firstLine()).isEqualTo("GET /v1/endpoints HTTP/1.1");
+            fetch.send(ScriptedServer.ok(
+                    ProxyFixture.endpointListJson(8, false, ProxyFixture.endpointJson("s7", "127.0.0.1:1", "ready"))));
             fetch = proxy.discovery.accept();
-            assertThat(fetch.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
-            fetch.send(ScriptedServer.ok(ProxyFixture.list(8, true, ProxyFixture.entry("s8", "127.0.0.1:1", "ready"))));
-            assertThat(proxy.discovery.accept().read().first()).contains("?from=8&");
+            assertThat(fetch.read().firstLine()).isEqualTo("GET /v1/endpoints HTTP/1.1");
+            fetch.send(ScriptedServer.ok(
+                    ProxyFixture.endpointListJson(8, true, ProxyFixture.endpointJson("s8", "127.0.0.1:1", "ready"))));
+            assertThat(proxy.discovery.accept().read().firstLine()).contains("?from=8&");
             assertThat(proxy.events)
                     .extracting(e -> ((EndpointUpdate) e).kind())
                     .containsExactly(
@@ -165,21 +169,21 @@
     @Test
     void leavesOutMalformedEntries() throws Exception {
         try (var proxy = new ProxyFixture(watching())) {
-            proxy.next(EndpointUpdate.class);
+            proxy.awaitEvent(EndpointUpdate.class);
             RawConnection call = proxy.discovery.accept();
             call.read();
-            call.send(ScriptedServer.ok(ProxyFixture.list(
+            call.send(ScriptedServer.ok(ProxyFixture.endpointListJson(
                     42,
                     true,
-                    ProxyFixture.entry("", "127.0.0.1:1", "ready"),
+                    ProxyFixture.endpointJson("", "127.0.0.1:1", "ready"),
                     "7",
                     "null",
                     "{}",
-                    ProxyFixture.entry("s1", "localhost:1", "ready"),
-                    ProxyFixture.entry("s2", "127.0.0.1:99999", "ready"),
-                    ProxyFixture.entry("s3", "127.0.0.1:1", "asleep"),
-                    ProxyFixture.entry("s4", "127.0.0.1:1", "ready"))));
-            assertThat(proxy.next(EndpointUpdate.class).endpoints())
+                    ProxyFixture.endpointJson("s1", "localhost:1", "ready"),
+                    ProxyFixture.endpointJson("s2", "127.0.0.1:99999", "ready"),
+                    ProxyFixture.endpointJson("s3", "127.0.0.1:1", "asleep"),
+                    ProxyFixture.endpointJson("s4", "127.0.0.1:1", "ready"))));
+            assertThat(proxy.awaitEvent(EndpointUpdate.class).endpoints())
                     .extracting(Endpoint::id)
                     .containsExactly("s4");
         }
@@ -192,11 +196,12 @@
                 actions.accept(new FetchEndpoints());
             }
         })) {
-            proxy.next(EndpointUpdate.class);
+            proxy.awaitEvent(EndpointUpdate.class);
             RawConnection call = proxy.discovery.accept();
-            assertThat(call.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
-            call.send(ScriptedServer.ok(ProxyFixture.list(42, true, ProxyFixture.entry("s1", "127.0.0.1:1", "ready"))));
-            assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.SNAPSHOT);
+            assertThat(call.read().firstLine()).isEqualTo("GET /v1/endpoints HTTP/1.1");
+            call.send(ScriptedServer.ok(
+                    ProxyFixture.endpointListJson(42, true, ProxyFixture.endpointJson("s1", "127.0.0.1:1", "ready"))));
+            assertThat(proxy.awaitEvent(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.SNAPSHOT);
         }
     }
 
@@ -213,17 +218,17 @@
                         actions.accept(new Reject(a.requestId(), 0));
                     }
                 });
-                var client = proxy.client()) {
-            RawConnection watch = proxy.list();
+                var client = proxy.connectClient()) {
+            RawConnection watch = proxy.answerWatchCall();
             client.send(ProxyFixture.get("r1")).read();
-            assertThat(watch.ended()).isTrue();
+            assertThat(watch.awaitClose()).isTrue();
             try (RawConnection failingFetch = proxy.discovery.accept()) {
-                assertThat(failingFetch.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
+                assertThat(failingFetch.read().firstLine()).isEqualTo("GET /v1/endpoints HTTP/1.1");
             }
             RawConnection fetch = proxy.discovery.accept();
-            assertThat(fetch.read().first()).isEqualTo("GET /v1/endpoints HTTP/1.1");
-            fetch.send(ScriptedServer.ok(ProxyFixture.list(45, true)));
-            assertThat(proxy.discovery.accept().read().first()).contains("?from=45&");
+            assertThat(fetch.read().firstLine()).isEqualTo("GET /v1/endpoints HTTP/1.1");
+            fetch.send(ScriptedServer.ok(ProxyFixture.endpointListJson(45, true)));
+            assertThat(proxy.discovery.accept().read().firstLine()).contains("?from=45&");
         }
     }
 }
--- a/src/test/java/gaugegw/proxy/discovery/LocalAgentTest.java
+++ b/src/test/java/gaugegw/proxy/discovery/LocalAgentTest.java
@@ -30,9 +30,9 @@
             }
             RawConnection call = proxy.discovery.accept();
             call.read();
-            call.send(ScriptedServer.ok(ProxyFixture.list(42, false)));
-            assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
-            Event nextEvent = ScriptedServer.next(proxy.events);
+            call.send(ScriptedServer.ok(ProxyFixture.endpointListJson(42, false)));
+            assertThat(proxy.awaitEvent(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
+            Event nextEvent = ScriptedServer.awaitNext(proxy.events);
             assertThat(nextEvent).isEqualTo(new EndpointUpdate(UpdateKind.DELTA, List.of()));
         }
     }
@@ -48,12 +48,12 @@
                 c -> c.replace("on_request", "pushed").replace("\"balancers\":2", "\"balancers\":100"))) {
             proxy.discovery.accept().read();
             RawConnection retry = proxy.discovery.accept();
-            assertThat(retry.read().first()).contains("from=41&hold_ms=0");
-            retry.send(ScriptedServer.ok(ProxyFixture.list(42, false)));
-            assertThat(proxy.next(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
-            Event nextEvent = ScriptedServer.next(proxy.events);
+            assertThat(retry.read().firstLine()).contains("from=41&hold_ms=0");
+            retry.send(ScriptedServer.ok(ProxyFixture.endpointListJson(42, false)));
+            assertThat(proxy.awaitEvent(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
+            Event nextEvent = ScriptedServer.awaitNext(proxy.events);
             assertThat(nextEvent).isEqualTo(new EndpointUpdate(UpdateKind.DELTA, List.of()));
-            assertThat(proxy.discovery.accept().read().first())
+            assertThat(proxy.discovery.accept().read().firstLine())
                     .matches("GET /v1/endpoints\\?from=42&hold_ms=1[1-5]\\d{2} HTTP/1.1");
         }
     }
@@ -70,15 +70,15 @@
         }
         try (var discovery = new ScriptedServer();
                 var backend = new ScriptedServer()) {
-            ScriptedServer.background(() -> {
+            ScriptedServer.runInBackground(() -> {
                 RawConnection call = discovery.accept();
                 call.read();
                 boolean accepted = false;
                 for (int i = 0; i < 50 && !accepted; i++) {
                     accepted = accepts(port);
                 }
-                call.send(ScriptedServer.ok(
-                        ProxyFixture.list(42, false, ProxyFixture.entry("s0", backend.address(), "draining"))));
+                call.send(ScriptedServer.ok(ProxyFixture.endpointListJson(
+                        42, false, ProxyFixture.endpointJson("s0", backend.address(), "draining"))));
             });
             try (var proxy = new ProxyFixture(
                     (event, actions) -> {},
@@ -95,7 +95,7 @@
 
     private static boolean accepts(int port) {
         try {
-            RawConnection.to(new InetSocketAddress(port)).close();
+            RawConnection.connectTo(new InetSocketAddress(port)).close();
             return true;
         } catch (IOException e) {
             pause();
--- a/src/test/java/gaugegw/proxy/dispatch/RequestDispatcherTest.java
+++ b/src/test/java/gaugegw/proxy/dispatch/RequestDispatcherTest.java
@@ -24,13 +24,13 @@
     @Test
     void failsARequestThatTheLoadBalancerNeverAnswers() throws Exception {
         try (var proxy = new ProxyFixture((event, actions) -> {});
-                var client = proxy.client()) {
+                var client = proxy.connectClient()) {
             long sentNanos = System.nanoTime();
             RawConnection.Message response = client.send(ProxyFixture.get("r1").replace("1900m", "300000u"))
                     .read();
             assertThat(response.status()).isEqualTo(502);
             assertThat(System.nanoTime() - sentNanos).isGreaterThan(200_000_000L);
-            assertThat(proxy.next(ClientDisconnected.class).requestId()).isEqualTo("r1");
+            assertThat(proxy.awaitEvent(ClientDisconnected.class).requestId()).isEqualTo("r1");
         }
     }
 
@@ -44,11 +44,11 @@
                                     && arrived.requestId().equals("bad")) {
                                 throw new IllegalStateException("as the test wants it");
                             }
-                            ProxyFixture.sendTo("s0").handle(event, actions);
+                            ProxyFixture.singleAttemptTo("s0").handle(event, actions);
                         },
                         backend);
-                var client = proxy.client()) {
-            backend.always(ScriptedServer.ok("x"));
+                var client = proxy.connectClient()) {
+            backend.respondToAll(ScriptedServer.ok("x"));
             assertThat(client.send(ProxyFixture.get("bad")).read().status()).isEqualTo(502);
             assertThat(client.send(ProxyFixture.get("good")).read().status()).isEqualTo(200);
         }
@@ -70,17 +70,17 @@
                             }
                         },
                         backend);
-                var client = proxy.client()) {
-            RawConnection firstAttempt = backend.attemptFor(client, "r1");
+                var client = proxy.connectClient()) {
+            RawConnection firstAttempt = backend.sendAndAcceptAttempt(client, "r1");
             for (int number = 1; number <= 2; number++) {
-                AttemptEnded end = proxy.next(AttemptEnded.class);
+                AttemptEnded end = proxy.awaitEvent(AttemptEnded.class);
                 assertThat(end.attempt()).isEqualTo(number);
                 assertThat(end.outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
                 assertThat(end.requestEnded()).isFalse();
             }
             firstAttempt.send(ScriptedServer.ok("x"));
             assertThat(client.read().status()).isEqualTo(200);
-            assertThat(proxy.next(AttemptEnded.class).requestEnded()).isTrue();
+            assertThat(proxy.awaitEvent(AttemptEnded.class).requestEnded()).isTrue();
         }
     }
 
@@ -93,17 +93,17 @@
                             if (event instanceof ClientDisconnected disconnected) {
                                 actions.accept(new CancelAttempt(disconnected.requestId(), 0));
                             }
-                            ProxyFixture.sendTo("s0").handle(event, actions);
+                            ProxyFixture.singleAttemptTo("s0").handle(event, actions);
                         },
                         backend)) {
             RawConnection attempt;
-            try (var client = proxy.client()) {
+            try (var client = proxy.connectClient()) {
                 client.send(ProxyFixture.get("r1"));
                 attempt = backend.accept();
                 attempt.read();
             }
-            assertThat(attempt.ended()).isTrue();
-            AttemptEnded end = proxy.next(AttemptEnded.class);
+            assertThat(attempt.awaitClose()).isTrue();
+            AttemptEnded end = proxy.awaitEvent(AttemptEnded.class);
             assertThat(end.outcome()).isEqualTo(AttemptOutcome.CANCELLED);
             assertThat(end.requestEnded()).isTrue();
         }
@@ -118,7 +118,7 @@
                 actions.accept(new SetTimer(0, "due"));
             }
         })) {
-            assertThat(proxy.next(TimerFired.class).token()).isEqualTo("due");
+            assertThat(proxy.awaitEvent(TimerFired.class).token()).isEqualTo("due");
         }
     }
 }
--- a/src/test/java/gaugegw/proxy/dispatch/SimultaneousEventsTest.java
+++ b/src/test/java/gaugegw/proxy/dispatch/SimultaneousEventsTest.java
@@ -25,19 +25,20 @@
  */
 class SimultaneousEventsTest {
     /** Forwards as {@link ProxyFixture#sendTo} does, and blocks the event loop when the request of this id arrives. */
-    private static ProxyFixture.Module blockingAt(String blockingId, CountDownLatch unblock, long firstTimeoutUs) {
+    private static ProxyFixture.StubLoadBalancer blockingAt(
+            String blockingId, CountDownLatch unblock, long firstTimeoutUs) {
         return (event, actions) -> {
             if (event instanceof RequestArrived arrived && arrived.requestId().equals(blockingId)) {
                 ScriptedServer.await(unblock);
             }
             boolean first = event instanceof RequestArrived arrived
                     && arrived.requestId().equals("r1");
-            ProxyFixture.sendTo("s0", first ? firstTimeoutUs : 0).handle(event, actions);
+            ProxyFixture.singleAttemptTo("s0", first ? firstTimeoutUs : 0).handle(event, actions);
         };
     }
 
     private static void awaitArrival(ProxyFixture proxy, String id) throws InterruptedException {
-        while (!proxy.next(RequestArrived.class).requestId().equals(id)) {
+        while (!proxy.awaitEvent(RequestArrived.class).requestId().equals(id)) {
             // an earlier request
         }
     }
@@ -53,13 +54,13 @@
         var unblock = new CountDownLatch(1);
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(blockingAt("r2", unblock, 0), ProxyFixture.LONG_TIMEOUTS, backend);
-                var client = proxy.client()) {
+                var client = proxy.connectClient()) {
             client.send(ProxyFixture.getWithLongTimeout("r1"));
             RawConnection attempt = backend.accept();
             attempt.read();
             attempt.send(ScriptedServer.ok("x"));
             assertThat(client.read().status()).isEqualTo(200);
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.SUCCESS);
+            assertThat(proxy.awaitEvent(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.SUCCESS);
             long answeredNanos = System.nanoTime();
             client.send(ProxyFixture.getWithLongTimeout("r2"));
             awaitArrival(proxy, "r2");
@@ -73,12 +74,12 @@
                 }
             }
             // A connection may be used again once it has been idle for some milliseconds.
-            ScriptedServer.until(() -> System.nanoTime() - answeredNanos > 20_000_000);
-            backend.always(ScriptedServer.ok("y"));
+            ScriptedServer.await(() -> System.nanoTime() - answeredNanos > 20_000_000);
+            backend.respondToAll(ScriptedServer.ok("y"));
             unblock.countDown();
             assertThat(client.read().body()).isEqualTo("y");
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.SUCCESS);
-            proxy.settle();
+            assertThat(proxy.awaitEvent(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.SUCCESS);
+            proxy.awaitInputHandled();
             assertThat(proxy.openRequests()).isZero();
         }
     }
@@ -93,8 +94,8 @@
         try (var backend = new ScriptedServer();
                 var proxy =
                         new ProxyFixture(blockingAt("other", unblock, 100_000), ProxyFixture.LONG_TIMEOUTS, backend);
-                var client = proxy.client();
-                var other = proxy.client()) {
+                var client = proxy.connectClient();
+                var other = proxy.connectClient()) {
             client.send(ProxyFixture.getWithLongTimeout("r1"));
             RawConnection attempt = backend.accept();
             attempt.read();
@@ -102,17 +103,17 @@
             other.send(ProxyFixture.getWithLongTimeout("other"));
             awaitArrival(proxy, "other");
             attempt.send(ScriptedServer.ok("x"));
-            ScriptedServer.until(() -> System.nanoTime() - sentNanos > 150_000_000);
-            backend.always(ScriptedServer.ok("y"));
+            ScriptedServer.await(() -> System.nanoTime() - sentNanos > 150_000_000);
+            backend.respondToAll(ScriptedServer.ok("y"));
             // The connection is reused unless the attempt was aborted.
-            attempt.always(ScriptedServer.ok("y"), new ArrayDeque<>());
+            attempt.respondToAll(ScriptedServer.ok("y"), new ArrayDeque<>());
             unblock.countDown();
-            AttemptEnded end = proxy.next(AttemptEnded.class);
+            AttemptEnded end = proxy.awaitEvent(AttemptEnded.class);
             assertThat(end.requestId()).isEqualTo("r1");
             assertThat(end.outcome()).isIn(AttemptOutcome.SUCCESS, AttemptOutcome.TIMEOUT);
             assertThat(client.read().status()).isEqualTo(end.outcome() == AttemptOutcome.SUCCESS ? 200 : 502);
-            assertThat(proxy.next(AttemptEnded.class).requestId()).isEqualTo("other");
-            proxy.settle();
+            assertThat(proxy.awaitEvent(AttemptEnded.class).requestId()).isEqualTo("other");
+            proxy.awaitInputHandled();
             assertThat(proxy.events).noneMatch(AttemptEnded.class::isInstance);
             assertThat(proxy.openRequests()).isZero();
             // A late response of the first request must not become that of the next one.
@@ -131,8 +132,8 @@
         var unblock = new CountDownLatch(1);
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(blockingAt("other", unblock, 0), ProxyFixture.LONG_TIMEOUTS, backend);
-                var other = proxy.client()) {
-            RawConnection client = proxy.client().send(ProxyFixture.getWithLongTimeout("r1"));
+                var other = proxy.connectClient()) {
+            RawConnection client = proxy.connectClient().send(ProxyFixture.getWithLongTimeout("r1"));
             RawConnection attempt = backend.accept();
             attempt.read();
             other.send(ProxyFixture.getWithLongTimeout("other"));
@@ -140,18 +141,18 @@
             attempt.send(ScriptedServer.ok("x"));
             client.socket.setSoLinger(reset, 0);
             client.close();
-            backend.always(ScriptedServer.ok("y"));
+            backend.respondToAll(ScriptedServer.ok("y"));
             unblock.countDown();
-            AttemptEnded end = proxy.next(AttemptEnded.class);
+            AttemptEnded end = proxy.awaitEvent(AttemptEnded.class);
             assertThat(end.requestId()).isEqualTo("r1");
             assertThat(end.outcome()).isEqualTo(AttemptOutcome.SUCCESS);
             assertThat(other.read().body()).isEqualTo("y");
-            assertThat(proxy.next(AttemptEnded.class).requestId()).isEqualTo("other");
-            proxy.settle();
+            assertThat(proxy.awaitEvent(AttemptEnded.class).requestId()).isEqualTo("other");
+            proxy.awaitInputHandled();
             assertThat(proxy.events).noneMatch(AttemptEnded.class::isInstance);
             assertThat(proxy.openRequests()).isZero();
             // One is left; the connection of settle() may take a moment to be closed.
-            ScriptedServer.until(() -> proxy.connectedClients() == 1);
+            ScriptedServer.await(() -> proxy.connectedClients() == 1);
         }
     }
 
@@ -162,7 +163,7 @@
     @Test
     void aResponseArrivesAsItsEndpointBeginsToDrain() throws Exception {
         var unblock = new CountDownLatch(1);
-        ProxyFixture.Module watching = ProxyFixture.watching("s0");
+        ProxyFixture.StubLoadBalancer watching = ProxyFixture.singleAttemptWithWatch("s0");
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(
                         (event, actions) -> {
@@ -175,8 +176,8 @@
                         },
                         ProxyFixture.LONG_TIMEOUTS,
                         backend);
-                var client = proxy.client();
-                var other = proxy.client()) {
+                var client = proxy.connectClient();
+                var other = proxy.connectClient()) {
             RawConnection watch = proxy.discovery.accept();
             watch.read();
             client.send(ProxyFixture.getWithLongTimeout("r1"));
@@ -185,14 +186,14 @@
             other.send(ProxyFixture.getWithLongTimeout("other"));
             awaitArrival(proxy, "other");
             attempt.send(ScriptedServer.ok("x"));
-            watch.send(ScriptedServer.ok(
-                    ProxyFixture.list(42, false, ProxyFixture.entry("s0", backend.address(), "draining"))));
+            watch.send(ScriptedServer.ok(ProxyFixture.endpointListJson(
+                    42, false, ProxyFixture.endpointJson("s0", backend.address(), "draining"))));
             unblock.countDown();
             assertThat(client.read().body()).isEqualTo("x");
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.SUCCESS);
-            assertThat(attempt.ended()).isTrue();
+            assertThat(proxy.awaitEvent(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.SUCCESS);
+            assertThat(attempt.awaitClose()).isTrue();
             client.send(ProxyFixture.getWithLongTimeout("r2"));
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
+            assertThat(proxy.awaitEvent(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
             assertThat(client.read().status()).isEqualTo(502);
         }
     }
@@ -208,26 +209,26 @@
                 var readyBackend = new ScriptedServer();
                 var proxy = ProxyFixture.withRealLoadBalancer(ProxyFixture.LONG_TIMEOUTS, backend)) {
             while (clients.size() < proxy.startedAttempts.size() + 2) {
-                clients.add(proxy.client().send(ProxyFixture.getWithLongTimeout("r" + clients.size())));
-                proxy.next(RequestArrived.class);
-                proxy.settle();
+                clients.add(proxy.connectClient().send(ProxyFixture.getWithLongTimeout("r" + clients.size())));
+                proxy.awaitEvent(RequestArrived.class);
+                proxy.awaitInputHandled();
             }
             int sentCount = proxy.startedAttempts.size();
-            proxy.list(
-                    ProxyFixture.entry("s0", backend.address(), "draining"),
-                    ProxyFixture.entry("s1", readyBackend.address(), "ready"));
-            readyBackend.always(ScriptedServer.ok("x"));
-            while (proxy.next(EndpointUpdate.class).kind() != UpdateKind.DELTA) {
+            proxy.answerWatchCall(
+                    ProxyFixture.endpointJson("s0", backend.address(), "draining"),
+                    ProxyFixture.endpointJson("s1", readyBackend.address(), "ready"));
+            readyBackend.respondToAll(ScriptedServer.ok("x"));
+            while (proxy.awaitEvent(EndpointUpdate.class).kind() != UpdateKind.DELTA) {
                 // the cached list
             }
-            proxy.settle();
+            proxy.awaitInputHandled();
             // The attempts in flight end, which makes capacity for the queued requests.
             for (RawConnection client : clients.subList(0, sentCount)) {
                 backend.accept();
                 client.close();
-                proxy.next(AttemptEnded.class);
+                proxy.awaitEvent(AttemptEnded.class);
             }
-            proxy.settle();
+            proxy.awaitInputHandled();
             List<StartAttempt> laterAttempts =
                     List.copyOf(proxy.startedAttempts).subList(sentCount, proxy.startedAttempts.size());
             assertThat(laterAttempts)
--- a/src/test/java/gaugegw/proxy/lifecycle/DrainScheduleTest.java
+++ b/src/test/java/gaugegw/proxy/lifecycle/DrainScheduleTest.java
@@ -36,8 +36,9 @@
     }
 
     private static DrainSchedule schedule(long deadlineMs) throws Exception {
-        String config = ProxyFixture.config("127.0.0.1:1")
+        String config = ProxyFixture.configText("127.0.0.1:1")
                 .replaceAll("deadline_us\":\\d+", "deadline_us\":" + deadlineMs * 1_000);
-        return DrainSchedule.of(ProxyConfig.parse(ProxyFixture.json(config)).settings());
+        return DrainSchedule.of(
+                ProxyConfig.parse(ProxyFixture.parseJson(config)).settings());
     }
 }
--- a/src/test/java/gaugegw/proxy/lifecycle/ProxyServerTest.java
+++ b/src/test/java/gaugegw/proxy/lifecycle/ProxyServerTest.java
@@ -41,15 +41,15 @@
         unreachable.close();
         try (var backend = new ScriptedServer();
                 var proxy = ProxyFixture.withRealLoadBalancer(unreachable, backend);
-                var client = proxy.client()) {
-            backend.always(ScriptedServer.ok("served"));
+                var client = proxy.connectClient()) {
+            backend.respondToAll(ScriptedServer.ok("served"));
             RawConnection watch = proxy.discovery.accept();
-            assertThat(watch.read().first()).contains("from=41&hold_ms=0");
+            assertThat(watch.read().firstLine()).contains("from=41&hold_ms=0");
             for (int i = 0; i < 10; i++) {
                 assertThat(client.send(ProxyFixture.post("r" + i, "pay")).read().body())
                         .isEqualTo("served");
             }
-            watch.send(ScriptedServer.ok(ProxyFixture.list(42, true)));
+            watch.send(ScriptedServer.ok(ProxyFixture.endpointListJson(42, true)));
             proxy.discovery.accept().read();
             RawConnection.Message response =
                     client.send(ProxyFixture.get("none")).read();
@@ -64,7 +64,7 @@
      */
     @Test
     void doesNotListenOnceTheDrainHasBegun() throws Exception {
-        ProxyConfig config = ProxyConfig.parse(ProxyFixture.config());
+        ProxyConfig config = ProxyConfig.parse(ProxyFixture.configTree());
         var server = new ProxyServer(config);
         try {
             server.drain();
@@ -82,17 +82,17 @@
     @Test
     void answersAllRequestsInFlightBeforeItEnds() throws Exception {
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
-                var busy = proxy.client();
-                var idle = proxy.client();
-                var used = proxy.client()) {
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
+                var busy = proxy.connectClient();
+                var idle = proxy.connectClient();
+                var used = proxy.connectClient()) {
             busy.send(ProxyFixture.get("r1"));
             RawConnection slowAttempt = backend.accept();
             slowAttempt.read();
             idle.send(READY).read();
             used.send(READY).read();
             CompletableFuture<Void> drained = CompletableFuture.runAsync(proxy::drain);
-            try (var late = proxy.client()) {
+            try (var late = proxy.connectClient()) {
                 late.send(ProxyFixture.get("r2"));
                 RawConnection attempt = backend.accept();
                 attempt.read();
@@ -112,9 +112,9 @@
                 response = used.send(READY).read();
             }
             assertThat(response.header("Connection")).isEqualTo("close");
-            assertThat(used.ended()).isTrue();
-            assertThat(idle.ended()).isTrue();
-            assertThat(busy.ended()).isTrue();
+            assertThat(used.awaitClose()).isTrue();
+            assertThat(idle.awaitClose()).isTrue();
+            assertThat(busy.awaitClose()).isTrue();
             drained.get(10, TimeUnit.SECONDS);
         }
     }
@@ -123,8 +123,8 @@
     @Test
     void failsRequestsInFlightAtTheEndOfTheDrain() throws Exception {
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
-                var client = proxy.client()) {
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
+                var client = proxy.connectClient()) {
             client.send(ProxyFixture.getWithLongTimeout("r1"));
             backend.accept().read();
             CompletableFuture<Void> drained = CompletableFuture.runAsync(proxy::drain);
@@ -140,14 +140,14 @@
     @Test
     void rejectsARequestThatBeginsAtTheEndOfTheDrain() throws Exception {
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
-                var client = proxy.client()) {
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
+                var client = proxy.connectClient()) {
             client.send(ProxyFixture.getWithLongTimeout("r1") + ProxyFixture.getWithLongTimeout("r2"));
             backend.accept().read();
             CompletableFuture<Void> drained = CompletableFuture.runAsync(proxy::drain);
             assertThat(client.read().status()).isEqualTo(502);
             assertThat(client.read().status()).isEqualTo(503);
-            assertThat(client.ended()).isTrue();
+            assertThat(client.awaitClose()).isTrue();
             drained.get(10, TimeUnit.SECONDS);
         }
     }
@@ -165,30 +165,30 @@
                         (event, actions) -> {
                             if (!(event instanceof RequestArrived a)
                                     || !a.requestId().startsWith("unanswered")) {
-                                ProxyFixture.sendTo("s0").handle(event, actions);
+                                ProxyFixture.singleAttemptTo("s0").handle(event, actions);
                             }
                         },
                         128,
                         15_000_000,
                         backend);
-                var slow = proxy.client()) {
-            backend.always(ScriptedServer.ok(LONGEST_BODY));
+                var slow = proxy.connectClient()) {
+            backend.respondToAll(ScriptedServer.ok(LONGEST_BODY));
             leaveUnread(proxy, slow, EXCEEDING_KERNEL_BUFFERS);
             CompletableFuture<Void> drained = CompletableFuture.completedFuture(null);
             if (connectionsRunShort) {
                 // All of them have a request in flight: the one that has none would be evicted.
                 for (int i = 0; i < DescriptorBudget.of(128).maxClients(); i++) {
-                    RawConnection client = proxy.client();
+                    RawConnection client = proxy.connectClient();
                     clients.add(client);
                     client.send(ProxyFixture.get("unanswered" + i));
-                    proxy.next(RequestArrived.class);
+                    proxy.awaitEvent(RequestArrived.class);
                 }
             } else {
-                RawConnection idle = proxy.client();
+                RawConnection idle = proxy.connectClient();
                 clients.add(idle);
                 idle.send(READY).read();
                 drained = CompletableFuture.runAsync(proxy::drain);
-                assertThat(idle.ended()).isTrue();
+                assertThat(idle.awaitClose()).isTrue();
             }
             readAll(slow, EXCEEDING_KERNEL_BUFFERS);
             drained.get(10, TimeUnit.SECONDS);
@@ -207,17 +207,17 @@
     @Timeout(30)
     void noRequestBeginsBehindALastResponse() throws Exception {
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
-                var slow = proxy.client()) {
-            backend.always(ScriptedServer.ok(LONGEST_BODY));
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
+                var slow = proxy.connectClient()) {
+            backend.respondToAll(ScriptedServer.ok(LONGEST_BODY));
             leaveUnread(proxy, slow, EXCEEDING_KERNEL_BUFFERS - 1);
             slow.send(ProxyFixture.get("last").replace("Host:", "Connection: close\r\nHost:"));
-            proxy.next(AttemptEnded.class);
+            proxy.awaitEvent(AttemptEnded.class);
             slow.send(ProxyFixture.get("behind"));
-            proxy.settle();
+            proxy.awaitInputHandled();
             assertThat(proxy.events).noneMatch(RequestArrived.class::isInstance);
             readAll(slow, EXCEEDING_KERNEL_BUFFERS);
-            assertThat(slow.ended()).isTrue();
+            assertThat(slow.awaitClose()).isTrue();
         }
     }
 
@@ -229,17 +229,17 @@
     @Timeout(30)
     void noRequestBeginsOnAConnectionThatADrainCloses() throws Exception {
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
-                var slow = proxy.client();
-                var idle = proxy.client()) {
-            backend.always(ScriptedServer.ok(LONGEST_BODY));
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
+                var slow = proxy.connectClient();
+                var idle = proxy.connectClient()) {
+            backend.respondToAll(ScriptedServer.ok(LONGEST_BODY));
             leaveUnread(proxy, slow, EXCEEDING_KERNEL_BUFFERS);
             idle.send(READY).read();
             CompletableFuture<Void> drained = CompletableFuture.runAsync(proxy::drain);
-            assertThat(idle.ended()).isTrue();
+            assertThat(idle.awaitClose()).isTrue();
             slow.send(ProxyFixture.get("behind"));
             readAll(slow, EXCEEDING_KERNEL_BUFFERS);
-            assertThat(slow.ended()).isTrue();
+            assertThat(slow.awaitClose()).isTrue();
             drained.get(10, TimeUnit.SECONDS);
             assertThat(proxy.events).noneMatch(RequestArrived.class::isInstance);
         }
@@ -263,24 +263,24 @@
                                 ScriptedServer.await(proceed);
                                 actions.accept(new Reject(a.requestId(), 0));
                             } else {
-                                ProxyFixture.sendTo("s0").handle(event, actions);
+                                ProxyFixture.singleAttemptTo("s0").handle(event, actions);
                             }
                         },
                         backend);
-                var slow = proxy.client()) {
-            backend.always(ScriptedServer.ok(LONGEST_BODY));
+                var slow = proxy.connectClient()) {
+            backend.respondToAll(ScriptedServer.ok(LONGEST_BODY));
             leaveUnread(proxy, slow, responses);
             slow.send(ProxyFixture.get("last").replace("Host:", "Connection: close\r\nHost:"));
-            proxy.next(RequestArrived.class);
+            proxy.awaitEvent(RequestArrived.class);
             slow.send(ProxyFixture.get("behind"));
             proceed.countDown();
-            proxy.settle();
+            proxy.awaitInputHandled();
             readAll(slow, responses);
             assertThat(slow.read().status()).isEqualTo(503);
-            assertThat(slow.ended()).isTrue();
+            assertThat(slow.awaitClose()).isTrue();
             assertThat(proxy.events).noneMatch(RequestArrived.class::isInstance);
             // The connection lingers, but no drain waits for it.
-            ScriptedServer.until(() -> proxy.connectedClients() == 0);
+            ScriptedServer.await(() -> proxy.connectedClients() == 0);
         }
     }
 
@@ -288,8 +288,8 @@
     private static void leaveUnread(ProxyFixture proxy, RawConnection client, int responses) throws Exception {
         for (int i = 0; i < responses; i++) {
             client.send(ProxyFixture.get("r" + i));
-            proxy.next(AttemptEnded.class);
-            proxy.settle();
+            proxy.awaitEvent(AttemptEnded.class);
+            proxy.awaitInputHandled();
         }
     }
 
@@ -301,7 +301,7 @@
 
     private static boolean accepts(ProxyFixture proxy) {
         try {
-            proxy.client().close();
+            proxy.connectClient().close();
             return true;
         } catch (IOException e) {
             return false;
@@ -316,18 +316,18 @@
     void evictsConnectionsWithoutARequest() throws Exception {
         var clients = new ArrayList<RawConnection>();
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), 128, 15_000_000, backend)) {
-            backend.always(ScriptedServer.ok("x"));
-            RawConnection idle = proxy.client();
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), 128, 15_000_000, backend)) {
+            backend.respondToAll(ScriptedServer.ok("x"));
+            RawConnection idle = proxy.connectClient();
             clients.add(idle);
             assertThat(idle.send(READY).read().status()).isEqualTo(503);
             for (int i = 0; i < 300; i++) {
-                clients.add(proxy.client());
+                clients.add(proxy.connectClient());
             }
-            try (var client = proxy.client()) {
+            try (var client = proxy.connectClient()) {
                 assertThat(client.send(ProxyFixture.get("r1")).read().status()).isEqualTo(200);
             }
-            assertThat(idle.ended()).isTrue();
+            assertThat(idle.awaitClose()).isTrue();
         } finally {
             for (RawConnection client : clients) {
                 client.close();
@@ -344,10 +344,10 @@
         var clients = new ArrayList<RawConnection>();
         try (var proxy = new ProxyFixture((event, actions) -> {}, 128, 15_000_000)) {
             for (int i = 0; i < 40; i++) {
-                clients.add(proxy.client().send(ProxyFixture.get("r" + i)));
-                proxy.next(RequestArrived.class);
+                clients.add(proxy.connectClient().send(ProxyFixture.get("r" + i)));
+                proxy.awaitEvent(RequestArrived.class);
             }
-            RawConnection next = proxy.client();
+            RawConnection next = proxy.connectClient();
             clients.add(next);
             assertThat(next.send(READY).read().header("Connection")).isEqualTo("close");
         } finally {
@@ -369,17 +369,17 @@
                         (event, actions) -> {
                             if (event instanceof RequestArrived a
                                     && a.requestId().startsWith("last")) {
-                                ProxyFixture.sendTo("s0").handle(event, actions);
+                                ProxyFixture.singleAttemptTo("s0").handle(event, actions);
                             }
                         },
                         128,
                         15_000_000,
                         backend)) {
-            backend.always(ScriptedServer.ok("x"));
+            backend.respondToAll(ScriptedServer.ok("x"));
             for (int i = 0; i < 100; i++) {
-                clients.add(proxy.client().send(ProxyFixture.get("r" + i)));
+                clients.add(proxy.connectClient().send(ProxyFixture.get("r" + i)));
             }
-            RawConnection last = proxy.client().send(ProxyFixture.get("last"));
+            RawConnection last = proxy.connectClient().send(ProxyFixture.get("last"));
             clients.add(last);
             // The others are failed by the proxy at their deadline, and their connections closed.
             assertThat(last.read()).isNotNull();
--- a/src/test/java/gaugegw/proxy/lifecycle/SignalHandlersTest.java
+++ b/src/test/java/gaugegw/proxy/lifecycle/SignalHandlersTest.java
@@ -35,7 +35,7 @@
     @Test
     void endsOrderlyOnSigtermBeforeItListens() throws Exception {
         try (var agent = new ScriptedServer()) {
-            Files.writeString(file, ProxyFixture.config(agent.address()).replace("on_request", "pushed"));
+            Files.writeString(file, ProxyFixture.configText(agent.address()).replace("on_request", "pushed"));
             try (var process = ProxyProcess.start(file, "")) {
                 // No client is accepted before this call is answered, and it never is.
                 agent.accept().read();
@@ -54,22 +54,22 @@
         try (var first = new ScriptedServer();
                 var neverCalled = new ScriptedServer();
                 var second = new ScriptedServer()) {
-            Files.writeString(file, ProxyFixture.config(first.address()));
+            Files.writeString(file, ProxyFixture.configText(first.address()));
             try (var process = ProxyProcess.start(file, "")) {
                 first.accept().read();
-                replace(ProxyFixture.config(neverCalled.address()));
-                replace(ProxyFixture.config(second.address()));
+                replace(ProxyFixture.configText(neverCalled.address()));
+                replace(ProxyFixture.configText(second.address()));
                 process.signal("HUP");
-                assertThat(second.accept().read().first()).isEqualTo(FIRST_CALL);
+                assertThat(second.accept().read().firstLine()).isEqualTo(FIRST_CALL);
                 // It is the first connection of all: the proxy has not called there.
-                try (var own = RawConnection.to(
+                try (var own = RawConnection.connectTo(
                         SocketAddresses.parse(neverCalled.address()).orElseThrow())) {
                     own.send("own\r\n\r\n");
-                    assertThat(neverCalled.accept().read().first()).isEqualTo("own");
+                    assertThat(neverCalled.accept().read().firstLine()).isEqualTo("own");
                 }
                 process.signal("TERM");
                 assertThat(process.awaitExit()).isZero();
-                assertThat(process.logs("inherited as ignored")).isFalse();
+                assertThat(process.hasLogged("inherited as ignored")).isFalse();
             }
         }
     }
@@ -83,18 +83,18 @@
         try (var first = new ScriptedServer();
                 var second = new ScriptedServer();
                 var third = new ScriptedServer()) {
-            Files.writeString(file, ProxyFixture.config(first.address()));
+            Files.writeString(file, ProxyFixture.configText(first.address()));
             try (var process = ProxyProcess.start(file, "trap '' HUP; ")) {
                 first.accept().read();
                 process.awaitLog("SIGHUP is inherited as ignored");
-                replace(ProxyFixture.config(second.address()));
-                assertThat(second.accept().read().first()).isEqualTo(FIRST_CALL);
-                String config = ProxyFixture.config(third.address());
+                replace(ProxyFixture.configText(second.address()));
+                assertThat(second.accept().read().firstLine()).isEqualTo(FIRST_CALL);
+                String config = ProxyFixture.configText(third.address());
                 Files.writeString(file, config.substring(0, config.length() / 2));
                 process.awaitLog("the new configuration is left alone");
                 Files.writeString(file, config);
                 process.signal("HUP");
-                assertThat(third.accept().read().first()).isEqualTo(FIRST_CALL);
+                assertThat(third.accept().read().firstLine()).isEqualTo(FIRST_CALL);
             }
         }
     }
@@ -103,7 +103,7 @@
     @Test
     void logsThatSigtermIsIgnored() throws Exception {
         try (var discovery = new ScriptedServer()) {
-            Files.writeString(file, ProxyFixture.config(discovery.address()));
+            Files.writeString(file, ProxyFixture.configText(discovery.address()));
             try (var process = ProxyProcess.start(file, "trap '' TERM; ")) {
                 process.awaitLog("SIGTERM is inherited as ignored");
             }
--- a/src/test/java/gaugegw/proxy/lifecycle/WarmupTest.java
+++ b/src/test/java/gaugegw/proxy/lifecycle/WarmupTest.java
@@ -19,7 +19,8 @@
     @Test
     void servesItsRequests() throws Exception {
         // Not all of them: on a slow machine some miss their deadline.
-        assertThat(Warmup.run(ProxyConfig.parse(ProxyFixture.config()), 60_000)).isGreaterThan(1_000);
+        assertThat(Warmup.run(ProxyConfig.parse(ProxyFixture.configTree()), 60_000))
+                .isGreaterThan(1_000);
     }
 
     /**
@@ -32,7 +33,7 @@
         Set<Long> before = LongStream.of(threads.getAllThreadIds()).boxed().collect(Collectors.toSet());
         var run = CompletableFuture.supplyAsync(() -> {
             try {
-                return Warmup.run(ProxyConfig.parse(ProxyFixture.config()), 60_000);
+                return Warmup.run(ProxyConfig.parse(ProxyFixture.configTree()), 60_000);
             } catch (Exception e) {
                 throw new CompletionException(e);
             }
@@ -54,6 +55,6 @@
 
     @Test
     void endsAtItsTimeLimit() throws Exception {
-        assertThat(Warmup.run(ProxyConfig.parse(ProxyFixture.config()), 0)).isLessThan(1_000);
+        assertThat(Warmup.run(ProxyConfig.parse(ProxyFixture.configTree()), 0)).isLessThan(1_000);
     }
 }
--- a/src/test/java/gaugegw/proxy/testing/FullBacklog.java
+++ b/src/test/java/gaugegw/proxy/testing/FullBacklog.java
@@ -34,7 +34,7 @@
     }
 
     /** Empties the backlog and returns the connection of the client that was waiting: its SYN is sent again. */
-    public RawConnection admit() throws IOException {
+    public RawConnection acceptWaitingClient() throws IOException {
         server.setSoTimeout(10_000);
         for (int i = 0; i < fillers.size(); i++) {
             server.accept().close();
--- a/src/test/java/gaugegw/proxy/testing/ProxyFixture.java
+++ b/src/test/java/gaugegw/proxy/testing/ProxyFixture.java
@@ -43,7 +43,7 @@
               "projects":[{"name":"acme","allowance_per_s":100}]}}
             """;
 
-    /** The events that the decision module was given, in order; {@link #next} removes them. */
+    /** The events that the decision module was given, in order; {@link #awaitEvent} removes them. */
     public final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
     /** The attempts that the decision module asked to start, in order. */
     public final BlockingQueue<Action.StartAttempt> startedAttempts = new LinkedBlockingQueue<>();
@@ -60,12 +60,12 @@
                     .replace("connect_timeout_us\":200000", "connect_timeout_us\":60000000");
 
     /** A decision module without a clock. */
-    public interface Module {
+    public interface StubLoadBalancer {
         void handle(Event event, Consumer<Action> actions);
     }
 
     /** A proxy with the endpoints {@code s0}, {@code s1} and so on, one for each backend. */
-    public ProxyFixture(Module module, ScriptedServer... backends) throws Exception {
+    public ProxyFixture(StubLoadBalancer module, ScriptedServer... backends) throws Exception {
         this(module, 1_024, 15_000_000, backends);
     }
 
@@ -75,12 +75,14 @@
      * @param sockets the limit of descriptors in the configuration
      * @param idleUs the time after which a backend may close an idle connection, in microseconds
      */
-    public ProxyFixture(Module module, int sockets, long idleUs, ScriptedServer... backends) throws Exception {
+    public ProxyFixture(StubLoadBalancer module, int sockets, long idleUs, ScriptedServer... backends)
+            throws Exception {
         this(settings -> (now, event, actions) -> module.handle(event, actions), sockets, idleUs, c -> c, backends);
     }
 
     /** A proxy whose configuration is edited; see {@link #LONG_TIMEOUTS}. */
-    public ProxyFixture(Module module, UnaryOperator<String> edit, ScriptedServer... backends) throws Exception {
+    public ProxyFixture(StubLoadBalancer module, UnaryOperator<String> edit, ScriptedServer... backends)
+            throws Exception {
         this(settings -> (now, event, actions) -> module.handle(event, actions), 1_024, 15_000_000, edit, backends);
     }
 
@@ -109,10 +111,10 @@
             throws Exception {
         var servers = new StringBuilder();
         for (int i = 0; i < backends.length; i++) {
-            servers.append(i == 0 ? "" : ",").append(entry("s" + i, backends[i].address(), "ready"));
+            servers.append(i == 0 ? "" : ",").append(endpointJson("s" + i, backends[i].address(), "ready"));
         }
-        ProxyConfig config =
-                ProxyConfig.parse(json(edit.apply(CONFIG.formatted(discovery.address(), sockets, servers, idleUs))));
+        ProxyConfig config = ProxyConfig.parse(
+                parseJson(edit.apply(CONFIG.formatted(discovery.address(), sockets, servers, idleUs))));
         LoadBalancer module = factory.apply(config.settings());
         serve = new ProxyServer(config, (now, event, actions) -> {
             events.add(event);
@@ -127,17 +129,17 @@
     }
 
     /** Parses JSON. */
-    public static JsonNode json(String text) throws IOException {
+    public static JsonNode parseJson(String text) throws IOException {
         return JsonTrees.read(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)));
     }
 
     /** Returns a valid configuration without endpoints, to be edited. */
-    public static ObjectNode config() throws IOException {
-        return (ObjectNode) json(config("127.0.0.1:1"));
+    public static ObjectNode configTree() throws IOException {
+        return (ObjectNode) parseJson(configText("127.0.0.1:1"));
     }
 
     /** Returns a valid configuration without endpoints, with a given address of discovery. */
-    public static String config(String discovery) {
+    public static String configText(String discovery) {
         return CONFIG.formatted(discovery, 1_024, "", 15_000_000);
     }
 
@@ -153,23 +155,25 @@
     }
 
     /** Formats an entry of an endpoint list. */
-    public static String entry(String id, String address, String state) {
+    public static String endpointJson(String id, String address, String state) {
         return "{\"id\":\"%s\",\"addr\":\"%s\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":1,\"state\":\"%s\",\"weight\":1.0,\"started_ms\":7}"
                 .formatted(id, address, state);
     }
 
     /** Formats a response of discovery: a complete list or changed entries. */
-    public static String list(long version, boolean full, String... entries) {
+    public static String endpointListJson(long version, boolean full, String... entries) {
         return "{\"version\":%d,\"full\":%b,\"servers\":[%s]}".formatted(version, full, String.join(",", entries));
     }
 
     /** A module that makes one attempt for each request, and fails the request if the attempt fails. */
-    public static Module sendTo(String backend) {
-        return sendTo(backend, 0);
+    public static StubLoadBalancer singleAttemptTo(String backend) {
+        return singleAttemptTo(backend, 0);
     }
 
-    /** As {@link #sendTo(String)}, with a timeout for the attempts in microseconds; 0: the request's deadline. */
-    public static Module sendTo(String backend, long timeoutUs) {
+    /**
+     * As {@link #singleAttemptTo(String)}, with a timeout for the attempts in microseconds; 0: the request's deadline.
+     */
+    public static StubLoadBalancer singleAttemptTo(String backend, long timeoutUs) {
         return (event, actions) -> {
             if (event instanceof Event.RequestArrived a) {
                 actions.accept(new Action.StartAttempt(a.requestId(), backend, timeoutUs));
@@ -179,23 +183,23 @@
         };
     }
 
-    /** As {@link #sendTo}, but watches the endpoint list first; see {@link #list(String...)}. */
-    public static Module watching(String backend) {
+    /** As {@link #singleAttemptTo}, but watches the endpoint list first; see {@link #answerWatchCall(String...)}. */
+    public static StubLoadBalancer singleAttemptWithWatch(String backend) {
         var watches = new boolean[1];
         return (event, actions) -> {
             if (!watches[0]) {
                 watches[0] = true;
                 actions.accept(new Action.WatchEndpoints(true));
             }
-            sendTo(backend).handle(event, actions);
+            singleAttemptTo(backend).handle(event, actions);
         };
     }
 
     /** Responds to the first call of the watch with changed entries; returns the connection of the next call. */
-    public RawConnection list(String... entries) throws IOException {
+    public RawConnection answerWatchCall(String... entries) throws IOException {
         RawConnection watch = discovery.accept();
         watch.read();
-        watch.send(ScriptedServer.ok(list(42, false, entries)));
+        watch.send(ScriptedServer.ok(endpointListJson(42, false, entries)));
         RawConnection next = discovery.accept();
         next.read();
         return next;
@@ -220,21 +224,21 @@
     }
 
     /** Connects a client. */
-    public RawConnection client() throws IOException {
-        return RawConnection.to(address);
+    public RawConnection connectClient() throws IOException {
+        return RawConnection.connectTo(address);
     }
 
     /** Waits until the proxy has handled everything that it received before. */
-    public void settle() throws IOException {
-        try (RawConnection probe = client()) {
+    public void awaitInputHandled() throws IOException {
+        try (RawConnection probe = connectClient()) {
             probe.send("GET /ready HTTP/1.1\r\n\r\n").read();
         }
     }
 
     /** Waits for the next event of a type, and drops those before it. */
-    public <T extends Event> T next(Class<T> type) throws InterruptedException {
+    public <T extends Event> T awaitEvent(Class<T> type) throws InterruptedException {
         while (true) {
-            Event event = ScriptedServer.next(events);
+            Event event = ScriptedServer.awaitNext(events);
             if (type.isInstance(event)) {
                 return type.cast(event);
             }
--- a/src/test/java/gaugegw/proxy/testing/ProxyProcess.java
+++ b/src/test/java/gaugegw/proxy/testing/ProxyProcess.java
@@ -19,14 +19,14 @@
     private static final String LISTENING = "listening on ";
     private static final String CLASS_PATH = classPath();
     /** The jars of the test class path beyond the one that holds all classes in production; each takes a descriptor. */
-    public static final int FURTHER_JARS = (int) jars(Arrays.stream(CLASS_PATH.split(File.pathSeparator, -1))) - 1;
+    public static final int EXTRA_JARS = (int) jars(Arrays.stream(CLASS_PATH.split(File.pathSeparator, -1))) - 1;
 
     private final Process process;
     private final List<String> log = new CopyOnWriteArrayList<>();
 
     private ProxyProcess(Process process) {
         this.process = process;
-        ScriptedServer.background(this::keepLog);
+        ScriptedServer.runInBackground(this::keepLog);
     }
 
     /**
@@ -64,16 +64,16 @@
 
     /** Waits until a line of the log holds a text. */
     public void awaitLog(String text) throws InterruptedException {
-        ScriptedServer.until(() -> logs(text));
+        ScriptedServer.await(() -> hasLogged(text));
     }
 
     /** Returns whether a line of the log holds a text. */
-    public boolean logs(String text) {
+    public boolean hasLogged(String text) {
         return log.stream().anyMatch(line -> line.contains(text));
     }
 
     /** Waits for the log line that names the listening port; returns the port. */
-    public int port() throws InterruptedException {
+    public int awaitPort() throws InterruptedException {
         awaitLog(LISTENING);
         String line =
                 log.stream().filter(l -> l.contains(LISTENING)).findFirst().orElseThrow();
@@ -81,7 +81,7 @@
     }
 
     /** Returns the number of descriptors that the process has open. */
-    public int descriptors() {
+    public int openDescriptors() {
         String[] open = new File("/proc/" + process.pid() + "/fd").list();
         if (open == null) {
             throw new AssertionError("the process has ended");
@@ -90,7 +90,7 @@
     }
 
     /** Returns the number of jars that the process has open. */
-    public long jars() throws IOException {
+    public long openJars() throws IOException {
         try (Stream<Path> open = Files.list(Path.of("/proc/" + process.pid() + "/fd"))) {
             return jars(open.map(ProxyProcess::target));
         }
@@ -104,7 +104,7 @@
     }
 
     public int awaitExit() throws InterruptedException {
-        ScriptedServer.until(() -> !process.isAlive());
+        ScriptedServer.await(() -> !process.isAlive());
         return process.exitValue();
     }
 
--- a/src/test/java/gaugegw/proxy/testing/RawConnection.java
+++ b/src/test/java/gaugegw/proxy/testing/RawConnection.java
@@ -28,12 +28,12 @@
     }
 
     /** Connects to an address. */
-    public static RawConnection to(InetSocketAddress address) throws IOException {
-        return to(address.getPort());
+    public static RawConnection connectTo(InetSocketAddress address) throws IOException {
+        return connectTo(address.getPort());
     }
 
     /** Connects to a port of the loopback address. */
-    public static RawConnection to(int port) throws IOException {
+    public static RawConnection connectTo(int port) throws IOException {
         return new RawConnection(new Socket(InetAddress.getLoopbackAddress(), port));
     }
 
@@ -65,8 +65,8 @@
     }
 
     /** Responds to every request from now on, on a thread of its own, and adds the requests to a queue. */
-    public void always(String response, Queue<Message> received) {
-        ScriptedServer.background(() -> {
+    public void respondToAll(String response, Queue<Message> received) {
+        ScriptedServer.runInBackground(() -> {
             for (Message request = read(); request != null; request = read()) {
                 received.add(request);
                 send(response);
@@ -75,7 +75,7 @@
     }
 
     /** Waits until the other side ends or resets the connection; returns whether it did, without sending anything. */
-    public boolean ended() throws IOException {
+    public boolean awaitClose() throws IOException {
         try {
             return in.read() < 0;
         } catch (java.net.SocketTimeoutException e) {
@@ -86,7 +86,7 @@
     }
 
     /** Reads until the other side ends or resets the connection; returns whether it did. */
-    public boolean endedQuietly() throws IOException {
+    public boolean awaitCloseSkippingData() throws IOException {
         try {
             while (in.read() >= 0) {
                 // drop what was sent before the end
@@ -116,10 +116,10 @@
     }
 
     /** An HTTP message: its first line, its headers, each line preceded by a line feed, and its body. */
-    public record Message(String first, String headers, String body) {
+    public record Message(String firstLine, String headers, String body) {
         /** Returns the status code of a response. */
         public int status() {
-            return Integer.parseInt(first.split(" ", -1)[1]);
+            return Integer.parseInt(firstLine.split(" ", -1)[1]);
         }
 
         /** Returns the value of a header, whatever the case of its name; null if there is none. */
--- a/src/test/java/gaugegw/proxy/testing/ScriptedServer.java
+++ b/src/test/java/gaugegw/proxy/testing/ScriptedServer.java
@@ -40,7 +40,7 @@
     }
 
     /** Has a client send a request; returns the new connection, on which the complete request has been read. */
-    public RawConnection attemptFor(RawConnection client, String requestId) throws IOException {
+    public RawConnection sendAndAcceptAttempt(RawConnection client, String requestId) throws IOException {
         client.send(ProxyFixture.get(requestId));
         RawConnection attempt = accept();
         attempt.read();
@@ -50,11 +50,11 @@
     /**
      * Responds to every request in the same way from now on, on threads of its own; returns the queue of the requests.
      */
-    public BlockingQueue<RawConnection.Message> always(String response) {
+    public BlockingQueue<RawConnection.Message> respondToAll(String response) {
         var received = new LinkedBlockingQueue<RawConnection.Message>();
-        background(() -> {
+        runInBackground(() -> {
             while (true) {
-                accept().always(response, received);
+                accept().respondToAll(response, received);
             }
         });
         return received;
@@ -62,17 +62,17 @@
 
     /** Formats a 200 response. */
     public static String ok(String body) {
-        return answer("200 OK", body);
+        return response("200 OK", body);
     }
 
     /** Formats a response with a content length. */
-    public static String answer(String status, String body, String... headers) {
+    public static String response(String status, String body, String... headers) {
         return "HTTP/1.1 " + status + "\r\n" + (headers.length == 0 ? "" : String.join("\r\n", headers) + "\r\n")
                 + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
     /** Waits for the next element of a queue. */
-    public static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
+    public static <T> T awaitNext(BlockingQueue<T> queue) throws InterruptedException {
         T next = queue.poll(10, TimeUnit.SECONDS);
         if (next == null) {
             throw new AssertionError("timed out: nothing in the queue");
@@ -81,7 +81,7 @@
     }
 
     /** Polls a condition until it holds: for state that no event reports. */
-    public static void until(BooleanSupplier condition) throws InterruptedException {
+    public static void await(BooleanSupplier condition) throws InterruptedException {
         long startNs = System.nanoTime();
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() - startNs > 10_000_000_000L) {
@@ -101,12 +101,12 @@
     }
 
     /** Work on a socket that may be closed meanwhile. */
-    public interface Work {
+    public interface SocketTask {
         void run() throws IOException;
     }
 
     /** Runs work on a daemon thread; it ends when its socket is closed. */
-    public static void background(Work work) {
+    public static void runInBackground(SocketTask work) {
         var thread = new Thread(() -> {
             try {
                 work.run();
--- a/src/test/java/gaugegw/proxy/transport/DescriptorReserveTest.java
+++ b/src/test/java/gaugegw/proxy/transport/DescriptorReserveTest.java
@@ -46,7 +46,7 @@
     /** Connects clients that each send a text. */
     private void connect(int port, int count, String sent) throws IOException {
         for (int i = 0; i < count; i++) {
-            RawConnection client = RawConnection.to(port);
+            RawConnection client = RawConnection.connectTo(port);
             clients.add(client);
             try {
                 client.send(sent);
@@ -58,7 +58,7 @@
 
     /** Returns whether a request on a new connection is answered with a status. */
     private static boolean answers(int port, String request, int status) {
-        try (RawConnection client = RawConnection.to(port)) {
+        try (RawConnection client = RawConnection.connectTo(port)) {
             RawConnection.Message response = client.send(request).read();
             return response != null && response.status() == status;
         } catch (IOException e) {
@@ -84,16 +84,16 @@
     void getsItsEndpointListAndServesBesideManyClients(String kind, boolean discoveryCloses) throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = ProxyFixture.withRealLoadBalancer(DESCRIPTOR_LIMIT)) {
-            backend.always(ScriptedServer.ok("served"));
+            backend.respondToAll(ScriptedServer.ok("served"));
             connect(proxy.address.getPort(), MANY_CLIENTS, sentBy(kind));
             if (discoveryCloses) {
                 proxy.discovery.accept().close();
             }
-            proxy.settle();
+            proxy.awaitInputHandled();
             assertThat(proxy.connectedClients()).isPositive();
-            proxy.discovery.always(ScriptedServer.ok(
-                    ProxyFixture.list(42, true, ProxyFixture.entry("s0", backend.address(), "ready"))));
-            ScriptedServer.until(() -> answers(proxy.address.getPort(), READY, 200));
+            proxy.discovery.respondToAll(ScriptedServer.ok(ProxyFixture.endpointListJson(
+                    42, true, ProxyFixture.endpointJson("s0", backend.address(), "ready"))));
+            ScriptedServer.await(() -> answers(proxy.address.getPort(), READY, 200));
             assertThat(answers(proxy.address.getPort(), ProxyFixture.get("r1"), 200))
                     .isTrue();
         }
@@ -111,7 +111,7 @@
         int requests = backends - 1;
         var blockerMayEnd = new CountDownLatch(1);
         var unrequestedBytesSent = new CountDownLatch(1);
-        ProxyFixture.Module module = (event, actions) -> {
+        ProxyFixture.StubLoadBalancer module = (event, actions) -> {
             if (event instanceof RequestArrived a && a.requestId().equals("blocker")) {
                 ScriptedServer.await(blockerMayEnd);
                 actions.accept(new Reject(a.requestId(), 0));
@@ -119,9 +119,10 @@
                 if (a.requestId().startsWith("again")) {
                     ScriptedServer.await(unrequestedBytesSent);
                 }
-                ProxyFixture.sendTo("s" + a.requestId().replaceAll("\\D", "")).handle(event, actions);
+                ProxyFixture.singleAttemptTo("s" + a.requestId().replaceAll("\\D", ""))
+                        .handle(event, actions);
             } else {
-                ProxyFixture.sendTo("").handle(event, actions);
+                ProxyFixture.singleAttemptTo("").handle(event, actions);
             }
         };
         try (var backend = new ScriptedServer();
@@ -138,29 +139,29 @@
             for (RawConnection attempt : attempts) {
                 attempt.read();
                 attempt.send(ScriptedServer.ok("x"));
-                proxy.next(AttemptEnded.class);
+                proxy.awaitEvent(AttemptEnded.class);
             }
             long answeredAtNs = System.nanoTime();
             disconnectClients();
             clients.clear();
-            ScriptedServer.until(() -> proxy.connectedClients() == 0 && System.nanoTime() - answeredAtNs > 20_000_000);
+            ScriptedServer.await(() -> proxy.connectedClients() == 0 && System.nanoTime() - answeredAtNs > 20_000_000);
             connect(proxy.address.getPort(), requests, "");
-            ScriptedServer.until(() -> proxy.connectedClients() == requests);
+            ScriptedServer.await(() -> proxy.connectedClients() == requests);
             connectWithRequests(proxy, "blocker", 1);
             // All are read in one turn of the loop, and the backends' bytes arrive in the middle of it.
             for (int i = 0; i < requests; i++) {
                 clients.get(i).send(ProxyFixture.getWithLongTimeout("again" + i));
             }
             blockerMayEnd.countDown();
-            proxy.next(RequestArrived.class);
+            proxy.awaitEvent(RequestArrived.class);
             for (RawConnection attempt : attempts) {
                 attempt.send("not requested");
             }
-            backend.always(ScriptedServer.ok("x"));
+            backend.respondToAll(ScriptedServer.ok("x"));
             unrequestedBytesSent.countDown();
             var outcomes = new ArrayList<AttemptOutcome>();
             for (int i = 0; i < requests; i++) {
-                outcomes.add(proxy.next(AttemptEnded.class).outcome());
+                outcomes.add(proxy.awaitEvent(AttemptEnded.class).outcome());
             }
             assertThat(outcomes).contains(AttemptOutcome.SUCCESS).containsOnlyOnce(AttemptOutcome.NOT_SENT);
         }
@@ -170,7 +171,7 @@
     private void connectWithRequests(ProxyFixture proxy, String name, int count) throws Exception {
         for (int i = 0; i < count; i++) {
             connect(proxy.address.getPort(), 1, ProxyFixture.getWithLongTimeout(count == 1 ? name : name + i));
-            proxy.next(RequestArrived.class);
+            proxy.awaitEvent(RequestArrived.class);
         }
     }
 
@@ -180,30 +181,30 @@
      */
     @Test
     void theProcessKeepsWithinItsLimit(@TempDir Path folder) throws Exception {
-        int maxDescriptors = DESCRIPTOR_LIMIT + ProxyProcess.FURTHER_JARS;
+        int maxDescriptors = DESCRIPTOR_LIMIT + ProxyProcess.EXTRA_JARS;
         try (var backend = new ScriptedServer();
                 var discovery = new ScriptedServer();
                 var proxy = start(folder, config(discovery, DESCRIPTOR_LIMIT), maxDescriptors)) {
-            backend.always(ScriptedServer.ok("served"));
+            backend.respondToAll(ScriptedServer.ok("served"));
             String[] entries = IntStream.range(0, DESCRIPTOR_LIMIT)
-                    .mapToObj(i -> ProxyFixture.entry("s" + i, backend.address(), "ready"))
+                    .mapToObj(i -> ProxyFixture.endpointJson("s" + i, backend.address(), "ready"))
                     .toArray(String[]::new);
-            discovery.always(ScriptedServer.ok(ProxyFixture.list(42, true, entries)));
-            int port = proxy.port();
-            ScriptedServer.until(() -> answers(port, READY, 200));
-            assertThat(proxy.jars()).isEqualTo(1 + ProxyProcess.FURTHER_JARS);
+            discovery.respondToAll(ScriptedServer.ok(ProxyFixture.endpointListJson(42, true, entries)));
+            int port = proxy.awaitPort();
+            ScriptedServer.await(() -> answers(port, READY, 200));
+            assertThat(proxy.openJars()).isEqualTo(1 + ProxyProcess.EXTRA_JARS);
             // Idle connections to backends first, as many as it keeps.
             var requests = new int[1];
-            ScriptedServer.until(() -> {
+            ScriptedServer.await(() -> {
                 answers(port, ProxyFixture.get("r" + requests[0]++), 200);
-                return proxy.descriptors() > maxDescriptors - DESCRIPTOR_LIMIT / 2;
+                return proxy.openDescriptors() > maxDescriptors - DESCRIPTOR_LIMIT / 2;
             });
             for (String kind : List.of("silent", "half", "idle")) {
                 connect(port, MANY_CLIENTS, sentBy(kind));
-                assertThat(proxy.descriptors()).isLessThanOrEqualTo(maxDescriptors);
-                ScriptedServer.until(() -> answers(port, ProxyFixture.get(kind), 200));
+                assertThat(proxy.openDescriptors()).isLessThanOrEqualTo(maxDescriptors);
+                ScriptedServer.await(() -> answers(port, ProxyFixture.get(kind), 200));
             }
-            assertThat(proxy.logs(NO_DESCRIPTOR)).isFalse();
+            assertThat(proxy.hasLogged(NO_DESCRIPTOR)).isFalse();
         }
     }
 
@@ -215,11 +216,11 @@
     void aLackOfDescriptorsDoesNotEndTheProcess(@TempDir Path folder) throws Exception {
         try (var discovery = new ScriptedServer();
                 var proxy = startWithTooFewDescriptors(folder, discovery)) {
-            int port = proxy.port();
+            int port = proxy.awaitPort();
             connect(port, DESCRIPTOR_LIMIT, "");
             proxy.awaitLog(NO_DESCRIPTOR);
             disconnectClients();
-            ScriptedServer.until(() -> answers(port, READY, 503));
+            ScriptedServer.await(() -> answers(port, READY, 503));
         }
     }
 
@@ -231,11 +232,11 @@
     void aCallToDiscoveryWithoutADescriptorIsRetried(@TempDir Path folder) throws Exception {
         try (var discovery = new ScriptedServer();
                 var proxy = startWithTooFewDescriptors(folder, discovery)) {
-            int port = proxy.port();
+            int port = proxy.awaitPort();
             RawConnection watch = discovery.accept();
             watch.read();
             connect(port, DESCRIPTOR_LIMIT, "");
-            ScriptedServer.until(() -> proxy.descriptors() == DESCRIPTOR_LIMIT / 2);
+            ScriptedServer.await(() -> proxy.openDescriptors() == DESCRIPTOR_LIMIT / 2);
             watch.close();
             proxy.awaitLog("no connection");
             disconnectClients();
@@ -253,6 +254,7 @@
     }
 
     private static String config(ScriptedServer discovery, int descriptorLimit) {
-        return ProxyFixture.config(discovery.address()).replace("\"sockets\":1024", "\"sockets\":" + descriptorLimit);
+        return ProxyFixture.configText(discovery.address())
+                .replace("\"sockets\":1024", "\"sockets\":" + descriptorLimit);
     }
 }
--- a/src/test/java/gaugegw/proxy/upstream/UpstreamAttemptOutcomeTest.java
+++ b/src/test/java/gaugegw/proxy/upstream/UpstreamAttemptOutcomeTest.java
@@ -35,11 +35,11 @@
     })
     void classifiesResponsesByStatusAndHeader(String status, String header, AttemptOutcome outcome) throws Exception {
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
-                var client = proxy.client()) {
-            backend.always(ScriptedServer.answer(status, "x", header));
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
+                var client = proxy.connectClient()) {
+            backend.respondToAll(ScriptedServer.response(status, "x", header));
             client.send(ProxyFixture.get("r1"));
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(outcome);
+            assertThat(proxy.awaitEvent(AttemptEnded.class).outcome()).isEqualTo(outcome);
             assertThat(client.read().status()).isEqualTo(outcome == AttemptOutcome.SUCCESS ? 200 : 502);
         }
     }
@@ -57,14 +57,14 @@
     })
     void connectionBrokenAfterTheCompleteRequestIsAReset(String partialResponse) throws Exception {
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
-                var client = proxy.client()) {
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
+                var client = proxy.connectClient()) {
             client.send(ProxyFixture.get("r1"));
             try (RawConnection attempt = backend.accept()) {
                 attempt.read();
                 attempt.send(partialResponse);
             }
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.RESET);
+            assertThat(proxy.awaitEvent(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.RESET);
             assertThat(client.read().status()).isEqualTo(502);
         }
     }
@@ -78,8 +78,8 @@
     void responseWithoutLengthIsCompleteOnlyAtTheEndOfItsConnection(boolean reset, AttemptOutcome outcome, int status)
             throws Exception {
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
-                var client = proxy.client()) {
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
+                var client = proxy.connectClient()) {
             client.send(ProxyFixture.get("r1"));
             try (RawConnection attempt = backend.accept()) {
                 attempt.read();
@@ -88,7 +88,7 @@
                     attempt.socket.setSoLinger(true, 0);
                 }
             }
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(outcome);
+            assertThat(proxy.awaitEvent(AttemptEnded.class).outcome()).isEqualTo(outcome);
             assertThat(client.read().status()).isEqualTo(status);
         }
     }
@@ -98,10 +98,10 @@
     void refusedConnectionIsAFailedConnect() throws Exception {
         var backend = new ScriptedServer();
         backend.close();
-        try (var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
-                var client = proxy.client()) {
+        try (var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
+                var client = proxy.connectClient()) {
             client.send(ProxyFixture.get("r1"));
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.CONNECT_FAILED);
+            assertThat(proxy.awaitEvent(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.CONNECT_FAILED);
             assertThat(client.read().status()).isEqualTo(502);
         }
     }
@@ -113,13 +113,13 @@
     @Test
     void malformedResponseIsAnErrorAndClosesTheConnection() throws Exception {
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
-                var client = proxy.client()) {
-            RawConnection attempt = backend.attemptFor(client, "r1");
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
+                var client = proxy.connectClient()) {
+            RawConnection attempt = backend.sendAndAcceptAttempt(client, "r1");
             attempt.send("rubbish\r\n\r\n" + ScriptedServer.ok("not asked for"));
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.ERROR);
+            assertThat(proxy.awaitEvent(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.ERROR);
             assertThat(client.read().status()).isEqualTo(502);
-            assertThat(attempt.ended()).isTrue();
+            assertThat(attempt.awaitClose()).isTrue();
         }
     }
 
@@ -146,14 +146,14 @@
             })
     void invalidResponseIsAnErrorAtOnce(String response) throws Exception {
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
-                var client = proxy.client()) {
-            RawConnection attempt = backend.attemptFor(client, "r1");
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
+                var client = proxy.connectClient()) {
+            RawConnection attempt = backend.sendAndAcceptAttempt(client, "r1");
             attempt.send(response);
-            AttemptEnded ended = proxy.next(AttemptEnded.class);
+            AttemptEnded ended = proxy.awaitEvent(AttemptEnded.class);
             assertThat(ended.outcome()).isEqualTo(AttemptOutcome.ERROR);
             assertThat(client.read().status()).isEqualTo(502);
-            assertThat(attempt.ended()).isTrue();
+            assertThat(attempt.awaitClose()).isTrue();
         }
     }
 
@@ -162,13 +162,13 @@
     @ValueSource(strings = {"HTTP/1.1 103 Early Hints\r\n\r\n", "X-Pad: pppppppp\r\n"})
     void endlessResponseIsAbortedBySize(String repeated) throws Exception {
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
-                var client = proxy.client()) {
-            RawConnection attempt = backend.attemptFor(client, "r1");
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
+                var client = proxy.connectClient()) {
+            RawConnection attempt = backend.sendAndAcceptAttempt(client, "r1");
             // The connection may be closed before all of this is written.
-            ScriptedServer.background(() ->
+            ScriptedServer.runInBackground(() ->
                     attempt.send((repeated.startsWith("HTTP") ? "" : "HTTP/1.1 200 OK\r\n") + repeated.repeat(10_000)));
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.ERROR);
+            assertThat(proxy.awaitEvent(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.ERROR);
         }
     }
 
@@ -176,11 +176,11 @@
     @Test
     void responseBodyOverTheLimitIsAnError() throws Exception {
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
-                var client = proxy.client()) {
-            backend.always(ScriptedServer.ok("x".repeat(70_000)));
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
+                var client = proxy.connectClient()) {
+            backend.respondToAll(ScriptedServer.ok("x".repeat(70_000)));
             client.send(ProxyFixture.get("r1"));
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.ERROR);
+            assertThat(proxy.awaitEvent(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.ERROR);
         }
     }
 
@@ -202,13 +202,13 @@
                         },
                         slow,
                         other);
-                var client = proxy.client()) {
+                var client = proxy.connectClient()) {
             client.send(ProxyFixture.get("r1"));
             RawConnection first = slow.accept();
             first.read();
             RawConnection second = other.accept();
             second.read();
-            assertThat(first.ended()).isTrue();
+            assertThat(first.awaitClose()).isTrue();
             second.send(ScriptedServer.ok("x"));
             assertThat(client.read().status()).isEqualTo(200);
         }
--- a/src/test/java/gaugegw/proxy/upstream/UpstreamConnectionReuseTest.java
+++ b/src/test/java/gaugegw/proxy/upstream/UpstreamConnectionReuseTest.java
@@ -35,12 +35,12 @@
     @Test
     void connectionsResetAfterIdleTimeAreNotUsedAgain() throws Exception {
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
-                var client = proxy.client()) {
-            ScriptedServer.background(() -> {
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
+                var client = proxy.connectClient()) {
+            ScriptedServer.runInBackground(() -> {
                 while (true) {
                     RawConnection connection = backend.accept();
-                    ScriptedServer.background(() -> {
+                    ScriptedServer.runInBackground(() -> {
                         connection.read();
                         connection.send(OK_X);
                         connection.read();
@@ -72,11 +72,11 @@
                                 actions.accept(new StartAttempt(
                                         a.requestId(), "s0", a.requestId().startsWith("hangs") ? 30_000 : 0));
                             } else {
-                                ProxyFixture.sendTo("s0").handle(event, actions);
+                                ProxyFixture.singleAttemptTo("s0").handle(event, actions);
                             }
                         },
                         backend);
-                var client = proxy.client()) {
+                var client = proxy.connectClient()) {
             for (int i = 0; i < 8; i++) {
                 client.send(ProxyFixture.get("r" + i));
                 RawConnection attempt = backend.accept();
@@ -87,7 +87,7 @@
                 client.send(ProxyFixture.get("hangs" + i));
                 assertThat(attempt.read().header("X-Request-ID")).isEqualTo("hangs" + i);
                 assertThat(client.read().status()).isEqualTo(502);
-                assertThat(attempt.ended()).isTrue();
+                assertThat(attempt.awaitClose()).isTrue();
             }
         }
     }
@@ -105,12 +105,12 @@
             })
     void bytesBehindAResponseCloseItsConnection(String response) throws Exception {
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
-                var client = proxy.client()) {
-            RawConnection attempt = backend.attemptFor(client, "r1");
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
+                var client = proxy.connectClient()) {
+            RawConnection attempt = backend.sendAndAcceptAttempt(client, "r1");
             attempt.send(response);
             assertThat(client.read().body()).isEqualTo("x");
-            assertThat(attempt.ended()).isTrue();
+            assertThat(attempt.awaitClose()).isTrue();
         }
     }
 
@@ -126,9 +126,9 @@
             })
     void validResponseIsServedAndItsConnectionKept(String response) throws Exception {
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
-                var client = proxy.client()) {
-            RawConnection attempt = backend.attemptFor(client, "r1");
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
+                var client = proxy.connectClient()) {
+            RawConnection attempt = backend.sendAndAcceptAttempt(client, "r1");
             attempt.send(response);
             assertThat(client.read().body()).isEqualTo("x");
             settle();
@@ -138,7 +138,7 @@
             assertThat(client.read().body()).isEqualTo("x");
             // No attempt waits for a response: whatever follows on this connection belongs to no request.
             attempt.send("noise");
-            assertThat(attempt.ended()).isTrue();
+            assertThat(attempt.awaitClose()).isTrue();
         }
     }
 
@@ -146,13 +146,13 @@
     @Test
     void secondResponseIsNotServedToTheNextRequest() throws Exception {
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), backend);
-                var client = proxy.client()) {
-            RawConnection attempt = backend.attemptFor(client, "r1");
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
+                var client = proxy.connectClient()) {
+            RawConnection attempt = backend.sendAndAcceptAttempt(client, "r1");
             attempt.send(ScriptedServer.ok("one") + ScriptedServer.ok("two"));
             assertThat(client.read().body()).isEqualTo("one");
-            assertThat(attempt.ended()).isTrue();
-            RawConnection next = backend.attemptFor(client, "r2");
+            assertThat(attempt.awaitClose()).isTrue();
+            RawConnection next = backend.sendAndAcceptAttempt(client, "r2");
             next.send(ScriptedServer.ok("three"));
             assertThat(client.read().body()).isEqualTo("three");
         }
@@ -171,10 +171,10 @@
                                     && a.requestId().equals("r3")) {
                                 actions.accept(new CloseIdleConnections("s0"));
                             }
-                            ProxyFixture.sendTo("s0").handle(event, actions);
+                            ProxyFixture.singleAttemptTo("s0").handle(event, actions);
                         },
                         backend);
-                var client = proxy.client()) {
+                var client = proxy.connectClient()) {
             client.send(ProxyFixture.get("r1"));
             RawConnection first = backend.accept();
             for (String next : List.of("r2", "r3")) {
@@ -184,7 +184,7 @@
                 settle();
                 client.send(ProxyFixture.get(next));
             }
-            assertThat(first.ended()).isTrue();
+            assertThat(first.awaitClose()).isTrue();
             RawConnection second = backend.accept();
             assertThat(second.read().header("X-Request-ID")).isEqualTo("r3");
         }
@@ -197,12 +197,12 @@
     @Test
     void closesIdleConnectionsBeforeTheBackendDoes() throws Exception {
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(ProxyFixture.sendTo("s0"), 1_024, 500_000, backend);
-                var client = proxy.client()) {
-            RawConnection attempt = backend.attemptFor(client, "r1");
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), 1_024, 500_000, backend);
+                var client = proxy.connectClient()) {
+            RawConnection attempt = backend.sendAndAcceptAttempt(client, "r1");
             attempt.send(ScriptedServer.ok("x"));
             client.read();
-            assertThat(attempt.ended()).isTrue();
+            assertThat(attempt.awaitClose()).isTrue();
         }
     }
 }
--- a/src/test/java/gaugegw/proxy/upstream/UpstreamEndpointUpdateTest.java
+++ b/src/test/java/gaugegw/proxy/upstream/UpstreamEndpointUpdateTest.java
@@ -20,14 +20,14 @@
     @Test
     void drainingEndpointAbortsAttemptsThatStillConnect() throws Exception {
         try (var full = new FullBacklog();
-                var proxy = new ProxyFixture(ProxyFixture.watching("s1"), ProxyFixture.LONG_TIMEOUTS);
-                var client = proxy.client()) {
-            RawConnection watch = proxy.list(ProxyFixture.entry("s1", full.address(), "ready"));
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptWithWatch("s1"), ProxyFixture.LONG_TIMEOUTS);
+                var client = proxy.connectClient()) {
+            RawConnection watch = proxy.answerWatchCall(ProxyFixture.endpointJson("s1", full.address(), "ready"));
             client.send(ProxyFixture.get("r1"));
-            proxy.next(RequestArrived.class);
-            watch.send(ScriptedServer.ok(
-                    ProxyFixture.list(43, false, ProxyFixture.entry("s1", full.address(), "draining"))));
-            assertThat(proxy.next(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
+            proxy.awaitEvent(RequestArrived.class);
+            watch.send(ScriptedServer.ok(ProxyFixture.endpointListJson(
+                    43, false, ProxyFixture.endpointJson("s1", full.address(), "draining"))));
+            assertThat(proxy.awaitEvent(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.NOT_SENT);
             assertThat(client.read().status()).isEqualTo(502);
         }
     }
@@ -40,8 +40,8 @@
     void endpointWithANewAddressIsSentNothingAtTheOldOne() throws Exception {
         try (var oldServer = new ScriptedServer();
                 var newServer = new ScriptedServer();
-                var proxy = new ProxyFixture(ProxyFixture.watching("s0"), 1_024, 60_000_000, oldServer);
-                var client = proxy.client()) {
+                var proxy = new ProxyFixture(ProxyFixture.singleAttemptWithWatch("s0"), 1_024, 60_000_000, oldServer);
+                var client = proxy.connectClient()) {
             client.send(ProxyFixture.get("r1"));
             RawConnection attempt = oldServer.accept();
             attempt.read();
@@ -49,10 +49,10 @@
             assertThat(client.read().body()).isEqualTo("old");
             RawConnection watch = proxy.discovery.accept();
             watch.read();
-            watch.send(ScriptedServer.ok(
-                    ProxyFixture.list(42, false, ProxyFixture.entry("s0", newServer.address(), "ready"))));
-            assertThat(attempt.ended()).isTrue();
-            newServer.always(ScriptedServer.ok("new"));
+            watch.send(ScriptedServer.ok(ProxyFixture.endpointListJson(
+                    42, false, ProxyFixture.endpointJson("s0", newServer.address(), "ready"))));
+            assertThat(attempt.awaitClose()).isTrue();
+            newServer.respondToAll(ScriptedServer.ok("new"));
             assertThat(client.send(ProxyFixture.get("r2")).read().body()).isEqualTo("new");
         }
     }
