--- a/src/main/java/gaugegw/balancer/ControlParameters.java
+++ b/src/main/java/gaugegw/balancer/ControlParameters.java
@@ -4,33 +4,42 @@
 import gaugegw.balancer.api.RequestClass;
 
 /**
- * The periods that scale the decisions, in microseconds: the time that attempts in flight may take at the concurrency
- * limit, and the time from one refresh of the weights to the next. Also how much the measurements remember.
+ * The time scales of the load balancer, derived from the latency objectives, and the window sizes of its statistics.
+ *
+ * @param latencyBudgetUs time in which the attempts in flight at the concurrency limit are to be completed, in
+ *     microseconds
+ * @param refreshPeriodUs time between two refreshes of the weights, in microseconds; also the time constant of other
+ *     averages and the first backoff after a failure
  */
 record ControlParameters(long latencyBudgetUs, long refreshPeriodUs) {
-    /** Attempts in flight may take this part of the shortest latency objective, queued requests as much again. */
-    private static final double LATENCY_BUDGET_SHARE = 1 / 5.0;
-    /** The refresh period in longest latency objectives. */
-    private static final int REFRESH_OBJECTIVES = 2;
+    /**
+     * The latency budget as a fraction of the shortest latency objective. The admission queue holds as many requests as
+     * the concurrency limit admits, so waiting there takes about as long again.
+     */
+    private static final double LATENCY_BUDGET_FRACTION = 1 / 5.0;
+    /** The refresh period as a multiple of the longest latency objective. */
+    private static final int REFRESH_PERIOD_OBJECTIVES = 2;
 
-    /** Samples that an average of latencies remembers: so many that the weights drift slowly. */
+    /** Window of a latency average, in samples; long enough that the weights change slowly. */
     static final int LATENCY_WINDOW_SAMPLES = 1024;
-    /** Fewer answers than this do not give a reliable mean latency. */
+    /** Minimum number of samples for a reliable mean latency. */
     static final int MIN_RELIABLE_SAMPLES = LATENCY_WINDOW_SAMPLES / 32;
-    /** The average of a kind counts as this many of an endpoint's own samples. */
+    /** Weight of a kind's average latency in the expected latency of an endpoint, in samples of the endpoint. */
     static final double KIND_PRIOR_SAMPLES = 4;
-    /** What a refresh period keeps of an endpoint's own samples, and of the throughput's average. */
+    /** Factor by which older values decay per refresh period: an endpoint's own samples, and the throughput average. */
     static final double REFRESH_DECAY_FACTOR = 0.8;
-    /** Attempts that the shares of errors and time-outs remember. */
+    /** Window of the error and timeout rates, in attempts. */
     static final double OUTCOME_WINDOW_ATTEMPTS = 256;
-    /** Ended requests that the share of rejections remembers. */
+    /** Window of the rejection rate, in completed requests. */
     static final double REJECTION_WINDOW_REQUESTS = 16;
 
+    /** Derives the parameters from the latency objectives of the request classes. */
     static ControlParameters of(BalancerSettings settings) {
         var objectivesUs = settings.requestClasses().stream()
                 .mapToLong(RequestClass::latencyObjectiveUs)
                 .summaryStatistics();
         return new ControlParameters(
-                (long) (LATENCY_BUDGET_SHARE * objectivesUs.getMin()), REFRESH_OBJECTIVES * objectivesUs.getMax());
+                (long) (LATENCY_BUDGET_FRACTION * objectivesUs.getMin()),
+                REFRESH_PERIOD_OBJECTIVES * objectivesUs.getMax());
     }
 }
--- a/src/main/java/gaugegw/balancer/EarliestDeadlineSelector.java
+++ b/src/main/java/gaugegw/balancer/EarliestDeadlineSelector.java
@@ -1,20 +1,28 @@
 package gaugegw.balancer;
 
 /**
- * Selects the endpoint of an attempt: of the eligible ones that of the best {@link PreferenceTier}, then of the
- * earliest deadline (virtual time + 1) / weight, then the first listed. An endpoint is eligible if a repeat there is
- * harmless, and if it is in this proxy's {@link EndpointSubset}, below its share of the attempts in flight and within
- * its {@link SlowStartBudget}.
+ * Selects the endpoint for an attempt. Among the eligible endpoints, the best {@link PreferenceTier} wins, then the
+ * earliest deadline, then the position in this proxy's endpoint order. An endpoint is eligible if:
  *
- * <p>This deadline is a point of an endpoint's virtual time, in attempts over weight: it has nothing to do with the
+ * <ul>
+ *   <li>{@link DuplicateExecutionGuard} permits the attempt there,
+ *   <li>it is in this proxy's {@link EndpointSubset},
+ *   <li>it has fewer attempts in flight than its fair share, and
+ *   <li>its {@link SlowStartBudget} permits another attempt.
+ * </ul>
+ *
+ * <p>The deadline of an endpoint is (virtual time + 1) / weight, as in weighted fair queueing. It is unrelated to the
  * deadline of a request.
  */
 final class EarliestDeadlineSelector {
-    /** An endpoint in the proxy's own zone counts as this many times its weight. */
-    private static final double SAME_ZONE_PREFERENCE = 4;
-    /** The endpoint that likely has the request's key cached counts as this many times its weight. */
-    private static final double CACHED_KEY_PREFERENCE = 4;
-    /** Above this share of unhealthy endpoints it is this proxy that is cut off, or the load: health is ignored. */
+    /** Multiplies the weight of an endpoint in the proxy's own zone. */
+    private static final double SAME_ZONE_WEIGHT_FACTOR = 4;
+    /** Multiplies the weight of the endpoint that probably has the request's key in its cache. */
+    private static final double CACHE_AFFINITY_WEIGHT_FACTOR = 4;
+    /**
+     * Share of the permitted endpoints above which their health is ignored. If so many are unhealthy, the likely cause
+     * is this proxy's own network or a general overload, not the endpoints.
+     */
     private static final double PANIC_THRESHOLD = 0.75;
 
     private final EndpointMembership membership;
@@ -36,72 +44,82 @@
         this.limiter = limiter;
     }
 
-    /** Returns the endpoint for the next attempt of a request, or null if there is none now. */
+    /** Returns the endpoint for the next attempt of a request, or null if no endpoint may receive it now. */
     EndpointRecord select(PendingRequest request, long nowUs) {
         EndpointRecord best = null;
         EndpointHealth.Condition bestCondition = EndpointHealth.Condition.FAILING;
         PreferenceTier bestTier = PreferenceTier.FAILING_ALREADY_TRIED;
-        double earliest = Double.POSITIVE_INFINITY;
-        int permitted = 0;
-        int unhealthy = 0;
-        int failing = 0;
-        double subsetRemaining = subset.size(nowUs);
+        double bestDeadline = Double.POSITIVE_INFINITY;
+        int permittedCount = 0;
+        int unhealthyCount = 0;
+        int failingCount = 0;
+        double remainingSubsetSize = subset.size(nowUs);
         for (EndpointRecord endpoint : membership.readyEndpoints()) {
             if (!duplicateGuard.permitsAttempt(request, endpoint, nowUs)) {
                 continue;
             }
             EndpointHealth.Condition condition = endpoint.condition(request.flow(), nowUs);
             boolean healthy = condition == EndpointHealth.Condition.HEALTHY;
-            permitted++;
-            unhealthy += healthy ? 0 : 1;
-            failing += condition == EndpointHealth.Condition.FAILING ? 1 : 0;
+            permittedCount++;
+            unhealthyCount += healthy ? 0 : 1;
+            failingCount += condition == EndpointHealth.Condition.FAILING ? 1 : 0;
             boolean warmingUp = slowStart.isWarmingUp(endpoint, nowUs);
-            // An endpoint that warms up is in too few subsets to get what all proxies together may send it.
-            boolean inSubset = !healthy || subsetRemaining > 0 || warmingUp;
+            // An endpoint in slow start is open to every proxy: the few proxies that have it in their subset could not
+            // use up its budget, because each of them may use only its own part.
+            boolean inSubset = !healthy || remainingSubsetSize > 0 || warmingUp;
             PreferenceTier tier = PreferenceTier.of(condition, request.hasTried(endpoint));
             double deadline = deadline(endpoint, request);
             if (inSubset
-                    && precedes(tier, deadline, bestTier, earliest)
+                    && isPreferred(tier, deadline, bestTier, bestDeadline)
                     && isBelowFairShare(endpoint)
-                    && slowStart.mayStartAttempt(endpoint, nowUs)) {
+                    && slowStart.permitsAttempt(endpoint, nowUs)) {
                 best = endpoint;
                 bestCondition = condition;
                 bestTier = tier;
-                earliest = deadline;
+                bestDeadline = deadline;
             }
-            subsetRemaining -= healthy && subset.takesPlace(endpoint, warmingUp) ? 1 : 0;
+            remainingSubsetSize -= healthy && subset.countsTowardSize(endpoint, warmingUp) ? 1 : 0;
         }
-        return isAcceptable(bestCondition, permitted, unhealthy, failing) ? best : null;
+        return isAcceptable(bestCondition, permittedCount, unhealthyCount, failingCount) ? best : null;
     }
 
-    /** Returns whether an endpoint is preferred to the best so far: by its tier, then by its deadline. */
-    private static boolean precedes(PreferenceTier tier, double deadline, PreferenceTier bestTier, double earliest) {
+    /** Returns whether an endpoint is preferred to the best one so far: by tier, then by deadline. */
+    private static boolean isPreferred(
+            PreferenceTier tier, double deadline, PreferenceTier bestTier, double bestDeadline) {
         if (tier == bestTier) {
-            return deadline < earliest;
+            return deadline < bestDeadline;
         }
-        // Without a positive weight, or with one that is not a number, an endpoint has no deadline.
+        // A weight of zero or NaN yields no finite deadline; such an endpoint is never selected.
         return tier.isPreferredTo(bestTier) && Double.isFinite(deadline);
     }
 
-    /** Returns (virtual time + 1) / weight, without a unit: the virtual time by which the next attempt is due. */
+    /** Returns the virtual deadline (virtual time + 1) / weight, with the weight raised by zone and cache affinity. */
     private static double deadline(EndpointRecord endpoint, PendingRequest request) {
-        double zonePreference = endpoint.isInProxyZone() ? SAME_ZONE_PREFERENCE : 1;
-        double cachePreference = endpoint == request.affinityEndpoint() ? CACHED_KEY_PREFERENCE : 1;
-        return (endpoint.virtualTime() + 1) / (endpoint.weight() * zonePreference * cachePreference);
+        double zoneFactor = endpoint.isInProxyZone() ? SAME_ZONE_WEIGHT_FACTOR : 1;
+        double cacheFactor = endpoint == request.affinityEndpoint() ? CACHE_AFFINITY_WEIGHT_FACTOR : 1;
+        return (endpoint.virtualTime() + 1) / (endpoint.weight() * zoneFactor * cacheFactor);
     }
 
-    /** Limits an endpoint to its weight's share of the attempts in flight: virtual time sees starts, but no answers. */
+    /**
+     * Returns whether an endpoint has fewer attempts in flight than its weight's share of all. Virtual time only counts
+     * started attempts, so without this limit they would pile up at an endpoint that does not respond.
+     */
     private boolean isBelowFairShare(EndpointRecord endpoint) {
         double fairShare = Math.ceil(endpoint.weight() * (limiter.attemptsInFlight() + 1));
         return endpoint.health().attemptsInFlight() < Math.max(1, fairShare);
     }
 
-    /** Where some endpoints are silent and the others fail, those that fail get nothing. */
-    private static boolean isAcceptable(EndpointHealth.Condition condition, int permitted, int unhealthy, int failing) {
+    /**
+     * Returns whether an endpoint in a given condition may be used. Unhealthy endpoints are used only above {@link
+     * #PANIC_THRESHOLD}. Failing endpoints count separately: if only some of the unhealthy endpoints are failing and
+     * the others are suspect, the failing ones are not used.
+     */
+    private static boolean isAcceptable(
+            EndpointHealth.Condition condition, int permittedCount, int unhealthyCount, int failingCount) {
         return switch (condition) {
             case HEALTHY -> true;
-            case SUSPECT -> unhealthy > PANIC_THRESHOLD * permitted;
-            case FAILING -> failing > PANIC_THRESHOLD * permitted;
+            case SUSPECT -> unhealthyCount > PANIC_THRESHOLD * permittedCount;
+            case FAILING -> failingCount > PANIC_THRESHOLD * permittedCount;
         };
     }
 }
--- a/src/main/java/gaugegw/balancer/EndpointLatency.java
+++ b/src/main/java/gaugegw/balancer/EndpointLatency.java
@@ -1,36 +1,40 @@
 package gaugegw.balancer;
 
-/** The expected latency of an endpoint: the average of its kind, corrected by the endpoint's own samples. */
+/**
+ * The expected latency of an endpoint: a weighted mean of the average over all endpoints of its kind and of the
+ * endpoint's own samples.
+ */
 final class EndpointLatency {
-    /** Shared by all endpoints of the kind. */
-    private LatencyAverage kind;
+    /** Shared by all endpoints of the same kind. */
+    private LatencyAverage kindAverage;
 
     private double ownSumUs;
     private double ownSamples;
 
-    LatencyAverage kind() {
-        return kind;
+    /** Returns the average over all endpoints of the same kind. */
+    LatencyAverage kindAverage() {
+        return kindAverage;
     }
 
-    /** Sets the average of the kind that the endpoint list names; before the first use, and with each list entry. */
-    void setKind(LatencyAverage kind) {
-        this.kind = kind;
+    /** Sets the average of the kind in the list entry. Called before any other method, and with each new list entry. */
+    void setKindAverage(LatencyAverage kindAverage) {
+        this.kindAverage = kindAverage;
     }
 
-    /** Adds a sample, in microseconds, to the endpoint's own and to those of its kind. */
+    /** Adds a latency sample, in microseconds, for the endpoint and for its kind. */
     void record(double latencyUs) {
-        kind.record(latencyUs);
+        kindAverage.record(latencyUs);
         ownSumUs += latencyUs;
         ownSamples++;
     }
 
-    /** Returns the expected latency in microseconds; means nothing while the kind has no samples. */
+    /** Returns the expected latency in microseconds; undefined while the kind has no samples. */
     double expectedUs() {
-        double prior = ControlParameters.KIND_PRIOR_SAMPLES;
-        return (prior * kind.meanUs() + ownSumUs) / (prior + ownSamples);
+        double priorSamples = ControlParameters.KIND_PRIOR_SAMPLES;
+        return (priorSamples * kindAverage.meanUs() + ownSumUs) / (priorSamples + ownSamples);
     }
 
-    /** Reduces the influence of the endpoint's own samples, once a refresh of the weights. */
+    /** Reduces the influence of the endpoint's own samples; called at each refresh of the weights. */
     void decayOwnSamples() {
         ownSumUs *= ControlParameters.REFRESH_DECAY_FACTOR;
         ownSamples *= ControlParameters.REFRESH_DECAY_FACTOR;
--- a/src/main/java/gaugegw/balancer/EndpointRecord.java
+++ b/src/main/java/gaugegw/balancer/EndpointRecord.java
@@ -68,7 +68,7 @@
 
     /** Returns the health for a flow. */
     EndpointHealth.Condition condition(int flow, long nowUs) {
-        return health.condition(flow, latency.kind().meanUs(), nowUs);
+        return health.condition(flow, latency.kindAverage().meanUs(), nowUs);
     }
 
     /** Takes a list entry for this process. */
@@ -76,7 +76,7 @@
         this.listEntry = entry;
         this.inProxyZone = inProxyZone;
         this.ready = entry.state() == EndpointState.READY;
-        latency.setKind(kind);
+        latency.setKindAverage(kind);
     }
 
     void markNotReady() {
@@ -94,6 +94,6 @@
     void recordAttemptStarted(int flow, long nowUs) {
         virtualTime += 1;
         health.recordAttemptStarted(flow, nowUs);
-        slowStartTokens.use();
+        slowStartTokens.takeToken();
     }
 }
--- a/src/main/java/gaugegw/balancer/HealthTracker.java
+++ b/src/main/java/gaugegw/balancer/HealthTracker.java
@@ -1,14 +1,18 @@
 package gaugegw.balancer;
 
-/** The passive health of an endpoint as a whole, or of one flow there. */
+/** Tracks the passive health of one endpoint, either overall or for one flow. */
 final class HealthTracker {
     private final FailureBackoff backoff = new FailureBackoff();
-    /** When the endpoint last gave a sign of life, or the first of the attempts now in flight began. */
-    private long lastHeardAtUs;
+    /**
+     * When the last attempt ended other than by timeout or cancellation, or when the first of the attempts now in
+     * flight started, whichever is later.
+     */
+    private long lastProgressAtUs;
 
     private int inFlight;
     private boolean lastWasError;
 
+    /** Returns the number of attempts in flight. */
     int inFlight() {
         return inFlight;
     }
@@ -18,43 +22,46 @@
     }
 
     /**
-     * Returns whether an attempt may begin: while probing one at a time, else unless the endpoint has gone silent.
+     * Returns whether another attempt may start: never during a backoff, one at a time while probing after a backoff,
+     * and otherwise unless the attempts in flight have stalled.
      *
-     * @param maxSilenceUs how long attempts in flight may go without a sign of life, in microseconds
+     * @param maxStallUs how long attempts in flight may go without progress, in microseconds
      */
-    boolean mayReceive(long nowUs, long maxSilenceUs) {
+    boolean isAvailable(long nowUs, long maxStallUs) {
         return switch (backoff.state(nowUs)) {
-            case CLOSED -> inFlight == 0 || nowUs - lastHeardAtUs < maxSilenceUs;
+            case INACTIVE -> inFlight == 0 || nowUs - lastProgressAtUs < maxStallUs;
             case BACKING_OFF -> false;
             case PROBING -> inFlight == 0;
         };
     }
 
     void recordAttemptStarted(long nowUs) {
-        lastHeardAtUs = inFlight == 0 ? nowUs : lastHeardAtUs;
+        lastProgressAtUs = inFlight == 0 ? nowUs : lastProgressAtUs;
         inFlight++;
     }
 
     /**
-     * Takes the end of an attempt.
+     * Records the end of an attempt.
      *
-     * @param heard false if it ended by a time-out or a cancellation, which are no sign of life
+     * @param progress false if the attempt timed out or was cancelled, which does not show that the endpoint responds
      */
-    void recordAttemptEnded(long nowUs, boolean heard) {
+    void recordAttemptEnded(long nowUs, boolean progress) {
         inFlight--;
-        lastHeardAtUs = heard ? nowUs : lastHeardAtUs;
+        lastProgressAtUs = progress ? nowUs : lastProgressAtUs;
     }
 
     /**
-     * Takes the result of an attempt. A success shortens the backoff and anything else lengthens it, a time-out and a
-     * rejection included; but where errors are common at all endpoints, only the second error in a row does.
+     * Records the result of an attempt. A success shortens the backoff. Any other result lengthens it, including a
+     * timeout or a rejection. The exception is an isolated error, one that follows neither an error nor a remembered
+     * failure: it is ignored while errors are common at all endpoints.
      *
-     * @param error whether it was an error of the endpoint or the connection, as counted by {@link OutcomeRates}
-     * @param backoffPeriodUs the backoff after a first failure, in microseconds
+     * @param error whether the outcome is an error in the sense of {@link OutcomeRates#isError}
+     * @param errorsAreCommon whether errors are common at all endpoints
+     * @param initialBackoffUs the backoff after a first failure, in microseconds
      */
-    void recordResult(boolean success, boolean error, boolean errorsAreCommon, long nowUs, long backoffPeriodUs) {
+    void recordResult(boolean success, boolean error, boolean errorsAreCommon, long nowUs, long initialBackoffUs) {
         boolean isolatedError = error && !lastWasError && !backoff.hasRecentFailure();
         lastWasError = error;
-        backoff.record(success || (isolatedError && errorsAreCommon), nowUs, backoffPeriodUs);
+        backoff.record(success || (isolatedError && errorsAreCommon), nowUs, initialBackoffUs);
     }
 }
--- a/src/main/java/gaugegw/balancer/LatencyAverage.java
+++ b/src/main/java/gaugegw/balancer/LatencyAverage.java
@@ -1,23 +1,26 @@
 package gaugegw.balancer;
 
-/** A decaying average of latencies: the mean until its memory is full, then an exponential average. */
+/**
+ * A moving average of latencies: the arithmetic mean of the first {@link ControlParameters#LATENCY_WINDOW_SAMPLES}
+ * samples, then an exponential moving average over as many.
+ */
 final class LatencyAverage {
     private double meanUs;
-    private int samples;
+    private int sampleCount;
 
     /** Adds a sample, in microseconds. */
     void record(double latencyUs) {
-        samples = Math.min(samples + 1, ControlParameters.LATENCY_WINDOW_SAMPLES);
-        meanUs += (latencyUs - meanUs) / samples;
+        sampleCount = Math.min(sampleCount + 1, ControlParameters.LATENCY_WINDOW_SAMPLES);
+        meanUs += (latencyUs - meanUs) / sampleCount;
     }
 
-    /** Returns the average in microseconds, 0 without samples. */
+    /** Returns the average in microseconds, or 0 without samples. */
     double meanUs() {
         return meanUs;
     }
 
     /** Returns the number of samples, at most {@link ControlParameters#LATENCY_WINDOW_SAMPLES}. */
-    int samples() {
-        return samples;
+    int sampleCount() {
+        return sampleCount;
     }
 }
--- a/src/main/java/gaugegw/balancer/LoadStatistics.java
+++ b/src/main/java/gaugegw/balancer/LoadStatistics.java
@@ -1,76 +1,85 @@
 package gaugegw.balancer;
 
 /**
- * The rate and latency of successful answers and, sampled once in a refresh period, the unloaded latency and throughput
- * of an endpoint. The period is not that of the weights, which starts afresh at each change of the endpoint list:
- * during a rolling restart nothing would be sampled.
+ * Statistics of successful responses: their rate and mean latency and, sampled once per refresh period, the unloaded
+ * latency and the throughput per endpoint.
+ *
+ * <p>Sampling has a timer of its own. The refresh timer of {@link EndpointWeights} restarts at each change of the
+ * endpoint list, so with that timer no sample would be taken during a rolling restart.
  */
 final class LoadStatistics {
-    private final long periodUs;
+    private final long samplingPeriodUs;
     private final LatencyAverage latency = new LatencyAverage();
+    /** Responses per microsecond, as of {@link #rateUpdatedAtUs}. */
     private double responsesPerUs;
-    private long respondedAtUs;
+
+    private long rateUpdatedAtUs;
     private long sampleDueAtUs;
-    private int samples;
+    private int sampleCount;
     private double unloadedLatencyUs;
     private double endpointThroughputPerUs;
 
     LoadStatistics(ControlParameters parameters) {
-        periodUs = parameters.refreshPeriodUs();
+        samplingPeriodUs = parameters.refreshPeriodUs();
     }
 
-    /** Sets the first sample to be due one refresh period from now. */
+    /** Schedules the first sample one refresh period from now. */
     void start(long nowUs) {
-        sampleDueAtUs = nowUs + periodUs;
+        sampleDueAtUs = nowUs + samplingPeriodUs;
     }
 
     /**
-     * Takes a successful answer.
+     * Records a successful response.
      *
      * @param latencyUs its latency in microseconds
      */
     void recordResponse(long latencyUs, long nowUs) {
         latency.record(latencyUs);
-        responsesPerUs = responsesPerUs(nowUs) + 1.0 / periodUs;
-        respondedAtUs = nowUs;
+        responsesPerUs = responsesPerUs(nowUs) + 1.0 / samplingPeriodUs;
+        rateUpdatedAtUs = nowUs;
     }
 
-    /** Samples the unloaded latency and the throughput once in a refresh period. */
+    /** Samples the unloaded latency and the throughput per endpoint if a refresh period has passed. */
     void sampleIfDue(int endpointCount, long nowUs) {
         if (nowUs < sampleDueAtUs) {
             return;
         }
-        sampleDueAtUs = nowUs + periodUs;
-        samples++;
-        // The least of the means, as a mean under load includes time in queues.
+        sampleDueAtUs = nowUs + samplingPeriodUs;
+        sampleCount++;
+        // The minimum of the sampled means, because under load the mean includes queueing time.
         double meanUs = hasReliableLatency() ? latency.meanUs() : 0;
         unloadedLatencyUs = unloadedLatencyUs == 0 ? meanUs : Math.min(unloadedLatencyUs, meanUs);
-        // An average, as answers of endpoints that have just left the list say nothing about those that stay.
+        // The throughput is smoothed: when endpoints leave the list, the response rate still includes their responses,
+        // so a single sample would overstate the throughput of the remaining endpoints.
         double throughputPerUs = responsesPerUs(nowUs) / Math.max(1, endpointCount);
         endpointThroughputPerUs += (throughputPerUs - endpointThroughputPerUs)
-                * Math.max(1.0 / samples, 1 - ControlParameters.REFRESH_DECAY_FACTOR);
+                * Math.max(1.0 / sampleCount, 1 - ControlParameters.REFRESH_DECAY_FACTOR);
     }
 
+    /** Returns whether there are enough samples for a reliable mean latency. */
     boolean hasReliableLatency() {
-        return latency.samples() >= ControlParameters.MIN_RELIABLE_SAMPLES;
+        return latency.sampleCount() >= ControlParameters.MIN_RELIABLE_SAMPLES;
     }
 
-    /** Returns the mean latency of successful answers in microseconds, 0 without any. */
+    /** Returns the mean latency of successful responses in microseconds, or 0 if there were none. */
     double meanLatencyUs() {
         return latency.meanUs();
     }
 
-    /** Returns the answers of all endpoints per microsecond, an exponential average over the refresh period. */
+    /**
+     * Returns the rate of successful responses from all endpoints, per microsecond. The rate is an exponential moving
+     * average with the refresh period as its time constant.
+     */
     double responsesPerUs(long nowUs) {
-        return responsesPerUs * Math.exp((respondedAtUs - nowUs) / (double) periodUs);
+        return responsesPerUs * Math.exp((rateUpdatedAtUs - nowUs) / (double) samplingPeriodUs);
     }
 
-    /** Returns the least mean latency so far, in microseconds; 0 before the first sample. */
+    /** Returns the lowest mean latency sampled so far, in microseconds, or 0 before there is a reliable one. */
     double unloadedLatencyUs() {
         return unloadedLatencyUs;
     }
 
-    /** Returns the answers of one endpoint to this proxy per microsecond, in the mean over all listed. */
+    /** Returns the mean rate of successful responses from one endpoint to this proxy, per microsecond. */
     double endpointThroughputPerUs() {
         return endpointThroughputPerUs;
     }
--- a/src/main/java/gaugegw/balancer/SlowStartBudget.java
+++ b/src/main/java/gaugegw/balancer/SlowStartBudget.java
@@ -4,12 +4,13 @@
 import gaugegw.balancer.api.SafetyLimits;
 
 /**
- * Limits the attempts at an endpoint that has just started. The invariant: in any overload window, all proxies together
- * start fewer than the overload multiple times its present capacity, or it would fail before it is warm.
+ * Limits the attempts at an endpoint in slow start. The invariant: within any overload window, all proxies together
+ * start fewer attempts than the endpoint's present capacity in that time multiplied by {@link
+ * SafetyLimits#overloadMultiple}. More would make the endpoint fail before it is warm.
  */
 final class SlowStartBudget {
-    /** Part of the budget that is used, as requests differ in size and the capacity is an estimate. */
-    private static final double SAFETY_MARGIN = 0.4;
+    /** Fraction of the permitted load that is used, as requests vary in cost and the capacity is an estimate. */
+    private static final double BUDGET_FRACTION = 0.4;
 
     private static final double FULLY_WARM = 1;
 
@@ -27,18 +28,21 @@
         return warmUpFraction(endpoint, nowUs) < FULLY_WARM;
     }
 
-    /** Returns whether this proxy may start an attempt at an endpoint now: always once it is warm. */
-    boolean mayStartAttempt(EndpointRecord endpoint, long nowUs) {
+    /** Returns whether this proxy may start an attempt at an endpoint now; always true after slow start. */
+    boolean permitsAttempt(EndpointRecord endpoint, long nowUs) {
         double warmUpFraction = warmUpFraction(endpoint, nowUs);
         if (warmUpFraction >= FULLY_WARM) {
             return true;
         }
         SafetyLimits limits = settings.safetyLimits();
-        double budgetPerUs = SAFETY_MARGIN * limits.overloadMultiple() * warmUpFraction * capacityPerUs(endpoint);
+        double budgetPerUs = BUDGET_FRACTION * limits.overloadMultiple() * warmUpFraction * capacityPerUs(endpoint);
         return endpoint.slowStartTokens().available(budgetPerUs, limits.overloadWindowUs(), nowUs) >= 1;
     }
 
-    /** Returns the part of its capacity that an endpoint is sure to have, up to 1; it grows evenly from its start. */
+    /**
+     * Returns the fraction of its full capacity that an endpoint has at least. It grows linearly from the initial
+     * capacity at the start of the process to 1 at the end of slow start.
+     */
     private double warmUpFraction(EndpointRecord endpoint, long nowUs) {
         SafetyLimits limits = settings.safetyLimits();
         long startedAtUs = endpoint.listEntry().startedAtUs();
@@ -50,13 +54,14 @@
     }
 
     /**
-     * Returns an estimate of the capacity at full warmth that is this proxy's part, in attempts per microsecond: what
-     * endpoints of its weight answer to this proxy, but at least one attempt at a time from all proxies together.
+     * Returns this proxy's estimated part of the full capacity of an endpoint, in attempts per microsecond: the
+     * throughput of endpoints of its weight to this proxy. The estimate is at least this proxy's part of one attempt at
+     * a time from all proxies together.
      */
     private double capacityPerUs(EndpointRecord endpoint) {
-        LatencyAverage kind = endpoint.latency().kind();
-        double requestUs = kind.samples() > 0
-                ? kind.meanUs()
+        LatencyAverage kindAverage = endpoint.latency().kindAverage();
+        double requestUs = kindAverage.sampleCount() > 0
+                ? kindAverage.meanUs()
                 : settings.requestClasses().get(0).latencyObjectiveUs();
         int endpointCount = membership.readyEndpoints().size();
         double byThroughputPerUs = load.endpointThroughputPerUs() * endpoint.weight() * endpointCount;
--- a/src/main/java/gaugegw/balancer/SlowStartTokenBucket.java
+++ b/src/main/java/gaugegw/balancer/SlowStartTokenBucket.java
@@ -3,20 +3,24 @@
 import gaugegw.balancer.api.Endpoint;
 
 /**
- * The attempts that this proxy may start at one endpoint in slow start, granted in the course of time. What is not used
- * soon expires: if each of many proxies could save one attempt, all could start theirs in the same burst.
+ * The token bucket for the attempts that this proxy may start at one endpoint in slow start. Each attempt takes one
+ * token. Unused tokens expire soon: if each of many proxies could save a token, all of them could start an attempt in
+ * the same burst.
  */
 final class SlowStartTokenBucket {
-    /** Part of a window's budget that may be used at once; the rest is granted in the course of the window. */
-    private static final double BURST_SHARE = 0.25;
-    /** Multiples of it, modulo 1, lie evenly for any run of successive proxies. */
+    /** Fraction of a window's budget that may be used at once. The rest is granted evenly over the window. */
+    private static final double BURST_FRACTION = 0.25;
+    /** The fractional parts of the multiples of this number are spread evenly for any range of consecutive proxies. */
     private static final double GOLDEN_FRACTION = (Math.sqrt(5) - 1) / 2;
 
     private double granted;
     private double usedOrExpired;
     private long grantedAtUs;
 
-    /** Grants a part of the first attempt, evenly spread over the proxies, so that the sum of all is near its mean. */
+    /**
+     * Creates a bucket with a fraction of one token. The fractions are spread evenly over the proxies, so that all
+     * proxies together start with about half a token per proxy.
+     */
     SlowStartTokenBucket(Endpoint endpoint, int proxyIndex, long nowUs) {
         int hash = HashMixer.mix(endpoint.id().hashCode() ^ Long.hashCode(endpoint.startedAtUs()));
         double phase = hash / (double) (1L << Integer.SIZE) + proxyIndex * GOLDEN_FRACTION;
@@ -25,28 +29,33 @@
     }
 
     /**
-     * Grants what is due and returns how many whole attempts may start now.
+     * Grants the tokens for the time since the last call and returns the number of whole tokens available.
+     *
+     * <p>The budget of a window, {@code budgetPerUs * windowUs} tokens, is granted evenly, except for {@link
+     * #BURST_FRACTION} of it. How many unused tokens are kept depends on the budget:
      *
-     * <p>A window's budget is granted evenly, all but {@link #BURST_SHARE} of it. Of a large budget, grants of a third of a
-     * window can be saved, which is that share: used at once, they and what is granted in the window are the whole
-     * budget. Of a small one (under a third of an attempt a window), a whole window's grants can be saved, or proxies with
-     * little traffic would seldom reach one attempt. Two windows' grants, one and a half times the budget, may then be used
-     * in one window; the safety margin of {@link SlowStartBudget} allows for that.
+     * <ul>
+     *   <li>Large budget: the tokens granted in a third of a window, which are {@link #BURST_FRACTION} of the budget.
+     *       If they are used at once, they and the tokens granted in the following window add up to the whole budget.
+     *   <li>Small budget (less than a third of a token per window): the tokens granted in a whole window. With fewer,
+     *       proxies with little traffic would rarely have a whole token. The tokens of two windows, one and a half
+     *       times the budget, may then be used within one window. {@link SlowStartBudget} leaves a margin for that.
+     * </ul>
      *
-     * @param budgetPerUs this proxy's part of the budget, in attempts per microsecond
+     * @param budgetPerUs this proxy's budget, in attempts per microsecond
      * @param windowUs the time over which overload is counted, in microseconds
      */
     double available(double budgetPerUs, long windowUs, long nowUs) {
-        granted += (1 - BURST_SHARE) * budgetPerUs * (nowUs - grantedAtUs);
+        granted += (1 - BURST_FRACTION) * budgetPerUs * (nowUs - grantedAtUs);
         grantedAtUs = nowUs;
         double budget = budgetPerUs * windowUs;
-        double unexpired = Math.max(BURST_SHARE * budget, Math.min(BURST_SHARE, (1 - BURST_SHARE) * budget));
+        double unexpired = Math.max(BURST_FRACTION * budget, Math.min(BURST_FRACTION, (1 - BURST_FRACTION) * budget));
         usedOrExpired = Math.max(usedOrExpired, Math.floor(granted - unexpired));
         return Math.floor(granted) - usedOrExpired;
     }
 
-    /** Takes one attempt that has started, in slow start or after it. */
-    void use() {
+    /** Takes a token for an attempt that has started, during slow start or later. */
+    void takeToken() {
         usedOrExpired += 1;
     }
 }
