--- a/src/main/java/gaugegw/balancer/AdmissionController.java
+++ b/src/main/java/gaugegw/balancer/AdmissionController.java
@@ -4,16 +4,25 @@
 import java.util.function.Consumer;
 
 /**
- * Starts attempts for queued requests as far as {@link ConcurrencyLimiter} permits, at the endpoints that {@link
- * EarliestDeadlineSelector} selects, and gives up requests that wait too long or are too many.
+ * Starts attempts for queued requests while {@link ConcurrencyLimiter} permits more, at the endpoints that {@link
+ * EarliestDeadlineSelector} selects. Gives up queued requests that have waited too long, and those of the lowest
+ * priority when the queue grows too long.
  */
 final class AdmissionController {
-    /** The token of the queue's timer. It is on the simulator's wire, so it must not change. */
+    /**
+     * The token of the timer that processes the queue. It is part of the simulator's wire format and must not change.
+     */
     private static final String TIMER_TOKEN = "held";
-    /** The queue is processed so often in a latency budget without other events: unused capacity grows with time. */
+    /**
+     * How often the queue is processed per latency budget when no other event arrives. Requests may become admissible
+     * without an event, because the concurrency limit that is left unused accumulates over time.
+     */
     private static final int WAKE_UPS_PER_LATENCY_BUDGET = 4;
-    /** The time-out in times left to the objective. If it were longer, silent endpoints would use up the limit. */
-    private static final double TIMEOUT_OBJECTIVES = 2;
+    /**
+     * An attempt's timeout, as a multiple of the time left until the latency objective. With a longer timeout, attempts
+     * at endpoints that do not answer would use up the concurrency limit.
+     */
+    private static final double TIMEOUT_OBJECTIVE_MULTIPLE = 2;
 
     private final ControlPeriods periods;
     private final int flowCount;
@@ -41,7 +50,7 @@
         this.rejection = rejection;
     }
 
-    /** Processes the queue once; called after each event, as any may have freed capacity. */
+    /** Processes the queue once. Called after each event, because any event may have freed capacity. */
     void processQueue(long nowUs, Consumer<Action> actions) {
         if (queue.size() > 0) {
             admitToAffinityEndpoints(nowUs, actions);
@@ -51,7 +60,10 @@
         }
     }
 
-    /** Requests whose affinity endpoint is selected go first: elsewhere their work takes more of the capacity. */
+    /**
+     * Starts those requests of the highest priority weight in the queue for which the selector chooses the affinity
+     * endpoint. They go before the other requests, because at any other endpoint they would use more capacity.
+     */
     private void admitToAffinityEndpoints(long nowUs, Consumer<Action> actions) {
         int position = 0;
         while (position < queue.size()
@@ -66,7 +78,10 @@
         }
     }
 
-    /** Admits in order. A flow whose first attempts wait for an endpoint does not block the other flows. */
+    /**
+     * Starts requests in queue order. When no endpoint is selected for a first attempt, later first attempts of the
+     * same flow have to wait as well, while other flows and retries are not affected.
+     */
     private void admitInOrder(long nowUs, Consumer<Action> actions) {
         var blockedFlows = new boolean[flowCount];
         int position = 0;
@@ -94,30 +109,34 @@
     }
 
     /**
-     * Returns the time-out of an attempt that starts now, in microseconds: never past the deadline. An attempt that times
-     * out does so at or after the objective, and so {@link RetryPolicy} does not retry it.
+     * Returns the timeout of an attempt that starts now, in microseconds. It never extends past the deadline and never
+     * expires before the objective, so {@link RetryPolicy} does not retry an attempt that timed out.
      */
     private static long timeoutUs(PendingRequest request, long nowUs) {
         long toObjectiveUs = request.objectiveAtUs() - nowUs;
-        long byObjectiveUs = toObjectiveUs > 0 ? (long) (TIMEOUT_OBJECTIVES * toObjectiveUs) : Long.MAX_VALUE;
+        long byObjectiveUs = toObjectiveUs > 0 ? (long) (TIMEOUT_OBJECTIVE_MULTIPLE * toObjectiveUs) : Long.MAX_VALUE;
         return Math.min(request.deadlineAtUs() - nowUs, byObjectiveUs);
     }
 
-    /** Rejects from the end of the queue, as those of the lowest priority are there. */
+    /**
+     * Gives up the requests that have waited too long, and all requests if no endpoint is ready. The queue may hold as
+     * many requests as the limit permits attempts, but at least one; the requests beyond that have the lowest priority
+     * and are given up as well.
+     */
     private void giveUp(long nowUs, Consumer<Action> actions) {
         for (int position = queue.size() - 1; position >= 0; position--) {
             PendingRequest request = queue.get(position);
-            boolean tooMany = position >= Math.max(limiter.limit(), 1);
-            if (request.giveUpAtUs() <= nowUs || membership.ready().isEmpty() || tooMany) {
+            boolean exceedsQueueLimit = position >= Math.max(limiter.limit(), 1);
+            if (request.giveUpAtUs() <= nowUs || membership.ready().isEmpty() || exceedsQueueLimit) {
                 queue.remove(request);
-                rejection.reject(request, nowUs, actions);
+                rejection.rejectOrFail(request, nowUs, actions);
             }
         }
     }
 
     /**
-     * Sets a timer unless an early enough one is set, so that no queued request passes its deadline without a final
-     * answer.
+     * Sets a timer, unless one that fires early enough is already set. It ensures that each queued request gets a final
+     * answer before its deadline, even if no other event arrives.
      */
     private void scheduleWakeUp(long nowUs, Consumer<Action> actions) {
         long nextGiveUpAtUs = queue.nextGiveUpAtUs();
--- a/src/main/java/gaugegw/balancer/AdmissionQueue.java
+++ b/src/main/java/gaugegw/balancer/AdmissionQueue.java
@@ -4,13 +4,19 @@
 import java.util.List;
 
 /**
- * The requests that wait for an attempt, in order: the highest priority weight first, then the earliest objective. Sets
- * when each is given up, which is early enough that the final answer is of use to the client.
+ * The requests that wait for an attempt, ordered by priority weight (highest first) and then by latency objective
+ * (earliest first). Also determines when each request is given up: early enough that its final answer is still of use
+ * to the client.
  */
 final class AdmissionQueue {
-    /** A request is given up so many latency budgets before its objective: an attempt would be answered too late. */
+    /**
+     * A request is given up this many latency budgets before its objective; a later attempt would miss the objective.
+     */
     private static final int GIVE_UP_LATENCY_BUDGETS = 2;
-    /** A request is given up so many event intervals before its deadline, or the client would leave unanswered. */
+    /**
+     * A request is given up this many event intervals before its deadline; later, the client could disconnect before it
+     * has an answer.
+     */
     private static final int GIVE_UP_EVENT_INTERVALS = 2;
 
     private final long giveUpBeforeObjectiveUs;
@@ -22,7 +28,7 @@
     /**
      * Creates an empty queue.
      *
-     * @param minEventIntervalUs the least time between two rounds of events, in microseconds
+     * @param minEventIntervalUs the shortest time between two rounds of events, in microseconds
      */
     AdmissionQueue(ControlPeriods periods, long minEventIntervalUs, RequestFlows flows, CacheAffinity affinity) {
         this.giveUpBeforeObjectiveUs = GIVE_UP_LATENCY_BUDGETS * periods.latencyBudgetUs();
@@ -31,12 +37,14 @@
         this.affinity = affinity;
     }
 
-    /** Queues a request behind those that outrank it or equal it. */
+    /** Adds a request behind all requests of a higher or equal rank. */
     void add(PendingRequest request) {
         long giveUpAtUs = Math.min(
                 request.objectiveAtUs() - giveUpBeforeObjectiveUs, request.deadlineAtUs() - giveUpBeforeDeadlineUs);
         request.recordQueued(
-                giveUpAtUs, flows.shareBelow(request.priorityWeight()), affinity.endpointFor(request.affinityKey()));
+                giveUpAtUs,
+                flows.lowerPriorityShare(request.priorityWeight()),
+                affinity.endpointFor(request.affinityKey()));
         int position = requests.size();
         while (position > 0 && outranks(request, requests.get(position - 1))) {
             position--;
@@ -62,7 +70,7 @@
         requests.remove(request);
     }
 
-    /** Returns when the first request is given up; {@link Long#MAX_VALUE} if there is none. */
+    /** Returns the earliest time at which a request is given up, or {@link Long#MAX_VALUE} if the queue is empty. */
     long nextGiveUpAtUs() {
         return requests.stream().mapToLong(PendingRequest::giveUpAtUs).min().orElse(Long.MAX_VALUE);
     }
--- a/src/main/java/gaugegw/balancer/ConcurrencyLimiter.java
+++ b/src/main/java/gaugegw/balancer/ConcurrencyLimiter.java
@@ -4,34 +4,38 @@
 import java.util.Set;
 
 /**
- * Limits the attempts in flight, by the rate of answers and the latency budget, so that requests queue at the proxy,
- * which orders them by priority. The limit is fractional, as one of hundreds of proxies may have less than one attempt
- * in flight in the mean of time: its whole part may always be used, the rest as the limit was left unused before.
+ * Limits the attempts that this proxy has in flight, so that requests queue at the proxy, which orders them by
+ * priority, and not at the endpoints. The limit is the rate of answers times the latency budget.
+ *
+ * <p>The limit is fractional, because one of hundreds of proxies may be entitled to less than one attempt in flight on
+ * average. Its integer part may always be used. Further attempts, up to the next integer or to {@link
+ * #MIN_ATTEMPTS_PER_ENDPOINT}, may start if the limit was not fully used before: what is unused accumulates over time,
+ * up to the limit times one refresh period, and attempts beyond the limit reduce it.
  */
 final class ConcurrencyLimiter {
-    /** Attempts in flight may take this multiple of the unloaded latency at least, or endpoints would go idle. */
+    /** The limit allows for at least this multiple of the unloaded latency; with less, endpoints would be idle. */
     private static final double LATENCY_HEADROOM = 1.2;
     /**
-     * Attempts in flight at each endpoint, from all proxies together, that the limit always allows, or the endpoint
-     * would be idle between an answer and the next attempt. Where a proxy's part is less than one, it holds in the
-     * mean.
+     * The number of attempts in flight per endpoint that the limits of all proxies together always allow. With fewer,
+     * an endpoint would be idle between an answer and the next attempt. Where one proxy's share of it is less than one
+     * attempt, the share applies to the average over time.
      */
     private static final double MIN_ATTEMPTS_PER_ENDPOINT = 3;
-    /** An attempt in flight for this many times the mean latency hangs, or is one of a few of large cost. */
+    /** An attempt in flight for this multiple of the mean latency hangs, or is one of the few that are expensive. */
     private static final double HUNG_LATENCY_MULTIPLE = 8;
-    /** Above this share of time-outs, it is overload that makes attempts long. */
-    private static final double MAX_HUNG_TIMEOUT_SHARE = 0.08;
+    /** Above this share of timeouts, long attempts are a sign of overload and are not treated as hung. */
+    private static final double OVERLOAD_TIMEOUT_SHARE = 0.08;
 
     private final int proxyCount;
     private final ControlPeriods periods;
     private final EndpointMembership membership;
     private final LoadMeasurement load;
     private final OutcomeRates rates;
-    /** In the order started. */
+    /** Oldest first. */
     private final Set<AttemptRecord> inFlight = new LinkedHashSet<>();
 
     private double limit;
-    /** In attempts times microseconds; below 0 where the limit was exceeded. */
+    /** The accumulated unused limit, in attempts times microseconds; negative after the limit was exceeded. */
     private double unusedLimitUs;
 
     private long updatedAtUs;
@@ -49,9 +53,11 @@
         this.rates = rates;
     }
 
-    /** Sets the limit for the event in hand and accounts for the time since the event before. */
+    /**
+     * Computes the limit for the event that is about to be handled, and accounts for the time since the previous one.
+     */
     void update(long nowUs) {
-        limit = limit(nowUs);
+        limit = computeLimit(nowUs);
         double unusedSinceUs = (limit - countedAttempts(nowUs)) * (nowUs - updatedAtUs);
         unusedLimitUs = Math.min(limit * periods.refreshUs(), unusedLimitUs + unusedSinceUs);
         updatedAtUs = nowUs;
@@ -73,7 +79,10 @@
         inFlight.remove(attempt);
     }
 
-    /** Returns whether a request's attempt may start. The limit may be exceeded for a time by a higher priority. */
+    /**
+     * Returns whether an attempt of a request may start now. The more classes have a lower priority weight than the
+     * request, the further the accumulated unused limit may fall below zero.
+     */
     boolean permits(PendingRequest request, long nowUs) {
         int counted = countedAttempts(nowUs);
         return counted < Math.max(limit, MIN_ATTEMPTS_PER_ENDPOINT)
@@ -81,18 +90,20 @@
                         || unusedLimitUs >= -request.lowerPriorityShare() * limit * periods.refreshUs());
     }
 
-    /** Returns what is answered within the latency budget, but not less than keeps the endpoints busy. */
-    private double limit(long nowUs) {
+    /** Returns the number of answers expected in a latency budget, but at least what keeps the endpoints busy. */
+    private double computeLimit(long nowUs) {
         double latencyUs = Math.max(periods.latencyBudgetUs(), LATENCY_HEADROOM * load.unloadedLatencyUs());
         double byAnswerRate = load.answersPerUs(nowUs) * latencyUs;
         double endpointsPerProxy = membership.ready().size() / (double) proxyCount;
-        double extra = endpointsPerProxy < 1 ? extraAttemptsPerEndpoint() : 0;
-        return Math.max(byAnswerRate, endpointsPerProxy * (MIN_ATTEMPTS_PER_ENDPOINT + extra));
+        double extraPerEndpoint = endpointsPerProxy < 1 ? extraAttemptsPerEndpoint() : 0;
+        return Math.max(byAnswerRate, endpointsPerProxy * (MIN_ATTEMPTS_PER_ENDPOINT + extraPerEndpoint));
     }
 
     /**
-     * Returns one attempt a busy core, falling with the rejections and below 0 where nearly all is rejected: with less
-     * than an endpoint to itself, a proxy can tell overload from chance only by how much it rejects.
+     * Returns how many attempts per endpoint are added to the minimum: c (1 - r) - r, with c the estimated number of
+     * busy cores of an endpoint, from 1 to {@link #MIN_ATTEMPTS_PER_ENDPOINT}, and r the share of requests that are
+     * rejected. It is negative where most requests are rejected. A proxy with less than one endpoint to itself has so
+     * few attempts that only its own rejections let it tell overload from random variation.
      */
     private double extraAttemptsPerEndpoint() {
         double busyCores = load.endpointThroughputPerUs() * proxyCount * load.unloadedLatencyUs();
@@ -100,9 +111,9 @@
         return cores * (1 - rates.rejectionShare()) - rates.rejectionShare();
     }
 
-    /** Returns the attempts in flight without the hung ones, which would keep others from endpoints that are free. */
+    /** Returns the attempts in flight except for hung ones, which would keep requests from endpoints that are idle. */
     private int countedAttempts(long nowUs) {
-        if (!load.hasReliableLatency() || rates.timeoutShare() > MAX_HUNG_TIMEOUT_SHARE) {
+        if (!load.hasReliableLatency() || rates.timeoutShare() > OVERLOAD_TIMEOUT_SHARE) {
             return inFlight.size();
         }
         double hungUs = Math.max(periods.latencyBudgetUs(), HUNG_LATENCY_MULTIPLE * load.meanLatencyUs());
--- a/src/main/java/gaugegw/balancer/DiscoveryPolling.java
+++ b/src/main/java/gaugegw/balancer/DiscoveryPolling.java
@@ -5,48 +5,52 @@
 import java.util.Random;
 import java.util.function.Consumer;
 
-/** Polls discovery for a watch of the endpoint list, again after each poll interval or failure until it is answered. */
+/**
+ * Decides when to call discovery for a watch of the endpoint list, if discovery sends the list only on request. Until a
+ * list arrives, the call is repeated after each poll interval, and after the backoff if a call fails.
+ */
 final class DiscoveryPolling {
-    /** The token of the poll's timer. It is on the simulator's wire, so it must not change. */
+    /** The token of the poll timer. It is part of the simulator's wire format and must not change. */
     private static final String TIMER_TOKEN = "ask";
 
     private static final long NOT_SCHEDULED = Long.MAX_VALUE;
 
-    private final boolean polled;
+    private final boolean onRequest;
     private final long intervalUs;
     private final DiscoveryBackoff backoff;
     private long nextPollAtUs = NOT_SCHEDULED;
 
     DiscoveryPolling(BalancerSettings settings) {
-        polled = settings.limits().endpointUpdatesOnRequest();
+        onRequest = settings.limits().endpointUpdatesOnRequest();
         intervalUs = settings.safetyLimits().pollIntervalUs();
         backoff = new DiscoveryBackoff(new Random(settings.seed()), intervalUs);
     }
 
-    /** Begins a poll, unless the list arrives without one. */
+    /** Requests a watch and schedules the next poll, unless discovery sends the list without a request. */
     void poll(long nowUs, Consumer<Action> actions) {
         nextPollAtUs = NOT_SCHEDULED;
-        if (polled) {
+        if (onRequest) {
             actions.accept(new Action.WatchEndpoints(true));
             schedule(nowUs + intervalUs, actions);
         }
     }
 
-    void timerFired(String token, long nowUs, Consumer<Action> actions) {
+    void handleTimerFired(String token, long nowUs, Consumer<Action> actions) {
         if (token.equals(TIMER_TOKEN) && nowUs >= nextPollAtUs) {
             poll(nowUs, actions);
         }
     }
 
-    /** Schedules a poll after a failed call; a poll that is due sooner stays. */
-    void callFailed(long nowUs, Consumer<Action> actions) {
+    /** Schedules a poll after a failed call, unless one that is due earlier is already scheduled. */
+    void handleCallFailed(long nowUs, Consumer<Action> actions) {
         long pollAtUs = nowUs + backoff.nextDelayUs(nowUs);
         if (pollAtUs < nextPollAtUs) {
             schedule(pollAtUs, actions);
         }
     }
 
-    void listReceived() {
+    /** Cancels the scheduled poll: the list has arrived and discovery now sends its changes. */
+    void handleListReceived() {
         nextPollAtUs = NOT_SCHEDULED;
     }
 
--- a/src/main/java/gaugegw/balancer/DuplicateExecutionGuard.java
+++ b/src/main/java/gaugegw/balancer/DuplicateExecutionGuard.java
@@ -8,8 +8,8 @@
 import gaugegw.balancer.api.RequestClass;
 
 /**
- * Guards against a request that takes effect twice. The invariant: once an attempt may have executed, another attempt
- * starts, and a rejection invites the client to retry, only where the request's class makes a repeat harmless.
+ * Prevents a request from taking effect twice. The invariant: once an attempt may have been executed, another attempt
+ * starts, or the client is invited to retry, only if the request's class makes a second execution harmless.
  */
 final class DuplicateExecutionGuard {
     private final BalancerSettings settings;
@@ -18,7 +18,7 @@
         this.settings = settings;
     }
 
-    /** Returns whether an attempt may start at an endpoint now. */
+    /** Returns whether an attempt of a request may start at an endpoint now. */
     boolean permitsAttempt(PendingRequest request, EndpointRecord endpoint, long nowUs) {
         RequestClass requestClass = request.requestClass();
         return request.attempts().isEmpty()
@@ -28,7 +28,7 @@
                                 !mayHaveExecuted(earlier) || isDeduplicated(requestClass, earlier, endpoint, nowUs));
     }
 
-    /** Returns whether a retry by the client is harmless, whichever proxy and endpoint it reaches. */
+    /** Returns whether a retry by the client is harmless at any proxy and any endpoint. */
     boolean isClientRetryHarmless(PendingRequest request) {
         RequestClass requestClass = request.requestClass();
         return requestClass.idempotency() == Idempotency.IDEMPOTENT
@@ -37,7 +37,10 @@
                 || request.attempts().stream().noneMatch(this::mayHaveExecuted);
     }
 
-    /** A rejection proves that an attempt did not execute, unless endpoints may reject what they had begun. */
+    /**
+     * Returns whether the endpoint may have executed an attempt. A rejection proves that it has not, unless endpoints
+     * may reject requests that they have already begun to execute.
+     */
     private boolean mayHaveExecuted(AttemptRecord attempt) {
         return attempt.isInFlight()
                 || !attempt.outcome().provesNotExecuted()
@@ -45,7 +48,10 @@
                         && settings.safetyLimits().rejectedMayHaveExecuted());
     }
 
-    /** Returns whether an endpoint discards a repeat of an earlier attempt, however long connecting takes. */
+    /**
+     * Returns whether an endpoint discards a repeat of an earlier attempt, even if connecting to it takes the whole
+     * connect timeout.
+     */
     private boolean isDeduplicated(
             RequestClass requestClass, AttemptRecord earlier, EndpointRecord endpoint, long nowUs) {
         long latestStartUs = nowUs + settings.limits().connectTimeoutUs();
--- a/src/main/java/gaugegw/balancer/EarliestDeadlineLoadBalancer.java
+++ b/src/main/java/gaugegw/balancer/EarliestDeadlineLoadBalancer.java
@@ -9,8 +9,9 @@
 import java.util.function.Consumer;
 
 /**
- * The load balancer of one proxy: a request goes to the eligible endpoint with the earliest deadline. This class takes
- * the events and calls the parts in order; each decision is made by the part named for it.
+ * The load balancer of one proxy. It sends each attempt to the eligible endpoint with the earliest deadline, as defined
+ * in {@link EarliestDeadlineSelector}. This class only passes each event to its collaborators, in a fixed order; they
+ * make the decisions.
  */
 public final class EarliestDeadlineLoadBalancer implements LoadBalancer {
     private final RequestFlows flows;
@@ -28,7 +29,7 @@
     private final DiscoveryPolling polling;
     private boolean started;
 
-    /** Starts an instance that knows nothing but its settings. */
+    /** Creates a load balancer that has no endpoints and no requests yet. */
     public EarliestDeadlineLoadBalancer(BalancerSettings settings) {
         int proxyCount = settings.proxyCount();
         var limits = settings.limits();
@@ -36,7 +37,7 @@
         var quotas = new TenantQuotas(settings, periods);
         var rates = new OutcomeRates();
         var guard = new DuplicateExecutionGuard(settings);
-        flows = new RequestFlows(settings, quotas.count());
+        flows = new RequestFlows(settings, quotas.tenantCount());
         membership = new EndpointMembership(settings, flows.count(), periods);
         weights = new EndpointWeights(membership, periods);
         load = new LoadMeasurement(periods);
@@ -67,16 +68,16 @@
         admission.processQueue(nowUs, actions);
     }
 
-    /** The types of event that are not named here need no decision. */
+    /** Handles one event. An event of a type that has no branch here requires no decision. */
     private void dispatch(long nowUs, Event event, Consumer<Action> actions) {
         if (event instanceof Event.RequestArrived arrival) {
             handleRequestArrived(nowUs, arrival);
-        } else if (event instanceof Event.AttemptEnded end) {
-            handleAttemptEnded(nowUs, end, actions);
+        } else if (event instanceof Event.AttemptEnded attemptEnded) {
+            handleAttemptEnded(nowUs, attemptEnded, actions);
         } else if (event instanceof Event.TimerFired timer) {
-            polling.timerFired(timer.token(), nowUs, actions);
+            polling.handleTimerFired(timer.token(), nowUs, actions);
         } else if (event instanceof Event.EndpointUpdate update) {
-            handleEndpointsUpdated(nowUs, update, actions);
+            handleEndpointUpdate(nowUs, update, actions);
         } else if (event instanceof Event.ClientDisconnected disconnect) {
             handleClientDisconnected(disconnect, actions);
         }
@@ -92,35 +93,35 @@
         queue.add(request);
     }
 
-    private void handleAttemptEnded(long nowUs, Event.AttemptEnded end, Consumer<Action> actions) {
-        PendingRequest request = registry.find(end.requestId());
-        if (request == null || !request.isInFlight(end.attempt())) {
+    private void handleAttemptEnded(long nowUs, Event.AttemptEnded event, Consumer<Action> actions) {
+        PendingRequest request = registry.find(event.requestId());
+        if (request == null || !request.isInFlight(event.attempt())) {
             return;
         }
-        AttemptRecord attempt = request.attempts().get(end.attempt());
-        request.recordAttemptEnded(attempt, end.outcome());
+        AttemptRecord attempt = request.attempts().get(event.attempt());
+        request.recordAttemptEnded(attempt, event.outcome());
         limiter.recordAttemptEnded(attempt);
-        attempt.endpoint().health().recordAttemptEnded(request.flow(), end.outcome(), nowUs);
+        attempt.endpoint().health().recordAttemptEnded(request.flow(), event.outcome(), nowUs);
         membership.closeIdleUnlessReady(attempt.endpoint(), actions);
-        outcomes.record(request, attempt, end, nowUs);
-        if (request.isAnswered() || end.requestEnded()) {
-            registry.close(request, actions);
+        outcomes.record(request, attempt, event, nowUs);
+        if (request.isAnswered() || event.requestEnded()) {
+            registry.complete(request, actions);
         } else if (request.attemptsInFlight() > 0) {
             return;
         } else if (retryPolicy.tryRetry(request, nowUs)) {
             queue.add(request);
         } else {
-            rejection.reject(request, nowUs, actions);
+            rejection.rejectOrFail(request, nowUs, actions);
         }
     }
 
-    private void handleEndpointsUpdated(long nowUs, Event.EndpointUpdate update, Consumer<Action> actions) {
+    private void handleEndpointUpdate(long nowUs, Event.EndpointUpdate update, Consumer<Action> actions) {
         if (update.kind() == UpdateKind.POLL_FAILED) {
-            polling.callFailed(nowUs, actions);
+            polling.handleCallFailed(nowUs, actions);
             return;
         }
         if (update.kind() != UpdateKind.CACHED) {
-            polling.listReceived();
+            polling.handleListReceived();
         }
         membership.apply(update, nowUs, actions);
         weights.refresh(nowUs);
@@ -130,11 +131,11 @@
         PendingRequest request = registry.find(disconnect.requestId());
         if (request != null) {
             queue.remove(request);
-            registry.close(request, actions);
+            registry.complete(request, actions);
         }
     }
 
-    /** Returns the number of endpoints and requests remembered; it must not grow with time. */
+    /** Returns the number of endpoints and requests held in memory. If it grows with uptime, the proxy leaks memory. */
     int trackedStateSize() {
         return membership.size() + registry.size();
     }
--- a/src/main/java/gaugegw/balancer/PendingRequest.java
+++ b/src/main/java/gaugegw/balancer/PendingRequest.java
@@ -6,12 +6,12 @@
 import java.util.List;
 
 /**
- * A request without a final answer, or with attempts still in flight. Times are on the proxy's clock, in microseconds.
- * {@link AdmissionQueue} sets what holds while queued, {@link RequestRegistry} what is answered; attempts are counted
- * here.
+ * A request that has no final answer yet, or still has attempts in flight. Points in time are on the proxy's clock, in
+ * microseconds. {@link AdmissionQueue} sets the values that apply while the request is queued; {@link RequestRegistry}
+ * marks the request as answered.
  */
 final class PendingRequest {
-    /** Most requests have one attempt, and few have more than one retry. */
+    /** Most requests need one attempt, and few need more than one retry. */
     private static final int EXPECTED_ATTEMPTS = 2;
 
     private final String id;
@@ -31,10 +31,11 @@
     /**
      * Creates a request without attempts.
      *
-     * @param flow its number in {@link RequestFlows}
-     * @param affinityKey the requests of a key belong on one endpoint; null where affinity does not apply
-     * @param priorityWeight without a unit; requests of a higher weight go first
-     * @param objectiveAtUs when the latency objective passes; no retry begins afterwards
+     * @param flow the index of its flow, see {@link RequestFlows}
+     * @param affinityKey requests with the same key should go to the same endpoint; null if affinity does not apply
+     * @param priorityWeight requests of a higher weight are started first; without a unit
+     * @param objectiveAtUs when the latency objective passes, or the deadline if late answers still count; no retry
+     *     starts afterwards
      * @param deadlineAtUs when the client gives up
      */
     PendingRequest(
@@ -66,7 +67,7 @@
         return flow;
     }
 
-    /** Returns the affinity key, or null where affinity does not apply. */
+    /** Returns the affinity key, or null if affinity does not apply. */
     String affinityKey() {
         return affinityKey;
     }
@@ -83,7 +84,7 @@
         return deadlineAtUs;
     }
 
-    /** Returns the attempts by number, those that have ended included; a live list, not to be changed. */
+    /** Returns all attempts in the order of their numbers, ended ones too. The list is live and must not be changed. */
     List<AttemptRecord> attempts() {
         return attempts;
     }
@@ -92,22 +93,22 @@
         return attemptsInFlight;
     }
 
-    /** Returns whether the client has its final answer, or has left. */
+    /** Returns whether the request has its final answer, or its client has disconnected. */
     boolean isAnswered() {
         return answered;
     }
 
-    /** Returns when the request is given up; holds while queued. */
+    /** Returns when the request is given up. Valid while it is queued. */
     long giveUpAtUs() {
         return giveUpAtUs;
     }
 
-    /** Returns the share of the request classes with a lower priority weight, from 0 to 1; holds while queued. */
+    /** Returns the share of request classes with a lower priority weight, from 0 to 1. Valid while it is queued. */
     double lowerPriorityShare() {
         return lowerPriorityShare;
     }
 
-    /** Returns the endpoint that likely has the affinity key cached, or null; holds while queued. */
+    /** Returns the endpoint that probably has the affinity key cached, or null. Valid while it is queued. */
     EndpointRecord affinityEndpoint() {
         return affinityEndpoint;
     }
--- a/src/main/java/gaugegw/balancer/RejectionPolicy.java
+++ b/src/main/java/gaugegw/balancer/RejectionPolicy.java
@@ -4,8 +4,8 @@
 import java.util.function.Consumer;
 
 /**
- * Gives the final answer to a request that is not attempted any more: a rejection, which invites the client to retry,
- * where that is harmless, else a failure.
+ * Chooses the final answer for a request that will not be attempted again: a rejection, which invites the client to
+ * retry, if a retry is harmless, and otherwise a failure.
  */
 final class RejectionPolicy {
     private final RetryAfter retryAfter;
@@ -24,11 +24,11 @@
         this.registry = registry;
     }
 
-    /** Ends a request that is not in the queue. */
-    void reject(PendingRequest request, long nowUs, Consumer<Action> actions) {
+    /** Emits the final answer for a request that is not in the queue, and completes the request. */
+    void rejectOrFail(PendingRequest request, long nowUs, Consumer<Action> actions) {
         rates.recordRejection();
         actions.accept(finalAnswer(request, nowUs));
-        registry.close(request, actions);
+        registry.complete(request, actions);
     }
 
     private Action finalAnswer(PendingRequest request, long nowUs) {
--- a/src/main/java/gaugegw/balancer/RequestFlows.java
+++ b/src/main/java/gaugegw/balancer/RequestFlows.java
@@ -7,8 +7,9 @@
 import java.util.Map;
 
 /**
- * The request classes by name, and the numbering of the flows. A flow is the requests of one class and tenant, or of
- * one class without a known tenant. Health is kept by flow, as an endpoint may fail the requests of some flows only.
+ * The request classes by name, and the indices of flows. A flow consists of the requests of one class and one tenant;
+ * the requests of one class whose tenant has no quota form a flow as well. Endpoint health is tracked per flow, because
+ * an endpoint may fail the requests of some flows only.
  */
 final class RequestFlows {
     private final List<RequestClass> classes;
@@ -21,32 +22,40 @@
         flowsPerClass = tenantCount + 1;
     }
 
-    /** Returns a class, or throws an IllegalArgumentException if the settings do not have it. */
+    /**
+     * Returns the request class of the given name.
+     *
+     * @throws IllegalArgumentException if the settings have no such class
+     */
     RequestClass requestClass(String name) {
         RequestClass requestClass = byName.get(name);
         if (requestClass == null) {
-            throw new IllegalArgumentException("request of a class not in the settings: " + name);
+            throw new IllegalArgumentException("no request class named '" + name + "' in the settings");
         }
         return requestClass;
     }
 
-    /** Returns the number of a flow, from 0 and below {@link #count()}. */
-    int flow(RequestClass requestClass, int tenantNumber) {
-        return classes.indexOf(requestClass) * flowsPerClass + tenantNumber;
+    /**
+     * Returns the index of a flow, from 0 to below {@link #count()}.
+     *
+     * @param tenantIndex the tenant's index, see {@link TenantQuotas#tenantIndex}
+     */
+    int flow(RequestClass requestClass, int tenantIndex) {
+        return classes.indexOf(requestClass) * flowsPerClass + tenantIndex;
     }
 
     int count() {
         return byName.size() * flowsPerClass;
     }
 
-    /** Returns the share of the classes, from 0 to 1, with a lower priority weight. */
-    double shareBelow(double priorityWeight) {
-        int below = 0;
+    /** Returns the share of the classes whose priority weight is lower than the given one, from 0 to 1. */
+    double lowerPriorityShare(double priorityWeight) {
+        int lower = 0;
         for (RequestClass requestClass : byName.values()) {
             if (requestClass.priorityWeight() < priorityWeight) {
-                below++;
+                lower++;
             }
         }
-        return below / (double) byName.size();
+        return lower / (double) byName.size();
     }
 }
--- a/src/main/java/gaugegw/balancer/RequestPriority.java
+++ b/src/main/java/gaugegw/balancer/RequestPriority.java
@@ -7,15 +7,15 @@
 import java.util.Map;
 
 /**
- * Sets the priority weight of a request, its objective and its deadline. The weight is that of its class, times a
- * fraction if the tenant is over quota and times another if the objective has passed already, as a late answer is of
- * less value.
+ * Determines the priority weight of a request, its latency objective and its deadline. The weight is that of its class.
+ * It is reduced by one factor if the tenant is over its quota, and by another if the objective has already passed,
+ * because a late answer is worth less.
  */
 final class RequestPriority {
     private final BalancerSettings settings;
     private final RequestFlows flows;
     private final TenantQuotas quotas;
-    /** The least time-out of a client's first attempt so far, by class. */
+    /** The shortest timeout so far of a request that is not marked as a retry, by class name. */
     private final Map<String, Long> minFirstTimeoutUs = new HashMap<>();
 
     RequestPriority(BalancerSettings settings, RequestFlows flows, TenantQuotas quotas) {
@@ -24,6 +24,7 @@
         this.quotas = quotas;
     }
 
+    /** Creates the pending request for a request that arrives now. */
     PendingRequest prioritize(RequestArrived arrival, RequestClass requestClass, long nowUs) {
         boolean overQuota = quotas.isOverQuota(arrival.tenant(), arrival.retry(), nowUs);
         long objectiveAtUs = clientStartedAtUs(arrival, requestClass, nowUs) + requestClass.latencyObjectiveUs();
@@ -34,7 +35,7 @@
         return new PendingRequest(
                 arrival.requestId(),
                 requestClass,
-                flows.flow(requestClass, quotas.number(arrival.tenant())),
+                flows.flow(requestClass, quotas.tenantIndex(arrival.tenant())),
                 settings.cacheAffinity() ? arrival.affinityKey() : null,
                 quotaFactor * (requestClass.priorityWeight() * lateFactor),
                 lateAnswersCount ? deadlineAtUs : Math.min(deadlineAtUs, objectiveAtUs),
@@ -42,8 +43,9 @@
     }
 
     /**
-     * Returns when the client's first attempt began. A request with less time left than first attempts get is a retry,
-     * whether the client marks it or not; the first attempt began one class deadline before its time runs out.
+     * Returns when the client first sent this request. A request with a shorter timeout than the first requests of its
+     * class is a retry, whether or not the client marks it as one. The client then first sent it one class deadline
+     * before the end of its timeout.
      */
     private long clientStartedAtUs(RequestArrived arrival, RequestClass requestClass, long nowUs) {
         long timeoutUs = arrival.timeoutUs();
--- a/src/main/java/gaugegw/balancer/RequestRegistry.java
+++ b/src/main/java/gaugegw/balancer/RequestRegistry.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The requests without a final answer, and those with attempts still in flight, by id. */
+/** The requests that have no final answer yet or still have attempts in flight, by id. */
 final class RequestRegistry {
     private final boolean cancellation;
     private final Map<String, PendingRequest> byId = new HashMap<>();
@@ -18,18 +18,21 @@
         byId.put(request.id(), request);
     }
 
-    /** Returns a request, or null if it is not known, or no longer. */
+    /** Returns a request, or null if the id is unknown or the request has been removed. */
     PendingRequest find(String requestId) {
         return byId.get(requestId);
     }
 
-    /** Returns the number of requests remembered. */
+    /** Returns the number of requests held in memory. */
     int size() {
         return byId.size();
     }
 
-    /** Marks a request as answered, cancels its attempts, and forgets it once none is in flight. */
-    void close(PendingRequest request, Consumer<Action> actions) {
+    /**
+     * Marks a request as answered, cancels its attempts if cancellation is permitted, and removes the request if none
+     * of its attempts is in flight. Otherwise this is called again when the remaining attempts end.
+     */
+    void complete(PendingRequest request, Consumer<Action> actions) {
         if (cancellation && !request.isAnswered()) {
             cancelAttempts(request, actions);
         }
--- a/src/main/java/gaugegw/balancer/RetryAfter.java
+++ b/src/main/java/gaugegw/balancer/RetryAfter.java
@@ -1,13 +1,13 @@
 package gaugegw.balancer;
 
 /**
- * Computes the Retry-After of a rejection: the time until the requests that are queued now have been answered, as a
- * retry before that would only be rejected again.
+ * Computes the Retry-After of a rejection: the expected time until the requests that are queued now have been answered.
+ * A client that retried earlier would only be rejected again.
  */
 final class RetryAfter {
-    /** Clients are spread over this part of the Retry-After, so that they do not retry at the same moment. */
+    /** The Retry-After is shortened by up to this fraction, so that clients do not retry at the same moment. */
     private static final double JITTER_SHARE = 0.25;
-    /** The high bits of the request id's hash give the jitter. */
+    /** The jitter is taken from this many high bits of the request id's hash. */
     private static final int JITTER_BITS = 16;
 
     private final long maxUs;
@@ -17,9 +17,9 @@
     private final AdmissionQueue queue;
 
     /**
-     * Creates a computation that keeps no state of its own.
+     * Creates a calculator that keeps no state of its own.
      *
-     * @param maxUs the longest Retry-After that a client may be given, in microseconds
+     * @param maxUs the longest Retry-After that may be returned, in microseconds
      */
     RetryAfter(
             long maxUs,
@@ -34,13 +34,16 @@
         this.queue = queue;
     }
 
-    /** Returns the Retry-After for a request, in microseconds from now. */
+    /**
+     * Returns the Retry-After for a request, in microseconds from now. Before jitter, it is at least one latency
+     * budget, but never more than the configured maximum.
+     */
     long delayUs(PendingRequest request, long nowUs) {
         double delayUs = Math.min(Math.max(periods.latencyBudgetUs(), queueDelayUs(nowUs)), maxUs);
         return (long) ((1 - JITTER_SHARE * jitter(request)) * delayUs);
     }
 
-    /** Returns the time to answer what is queued; one refresh period where no endpoint is ready. */
+    /** Returns the expected time until the queue is answered, or one refresh period without a ready endpoint. */
     private double queueDelayUs(long nowUs) {
         if (membership.ready().isEmpty()) {
             return periods.refreshUs();
@@ -49,7 +52,7 @@
         return queue.size() / Math.max(load.answersPerUs(nowUs), minAnswersPerUs);
     }
 
-    /** Returns a value from 0 to below 1 that is always the same for a request. */
+    /** Returns a value from 0 to below 1 that depends only on the request id. */
     private static double jitter(PendingRequest request) {
         int highBits = HashMixer.mix(request.id().hashCode()) >>> (Integer.SIZE - JITTER_BITS);
         return highBits / (double) (1 << JITTER_BITS);
--- a/src/main/java/gaugegw/balancer/RetryBudget.java
+++ b/src/main/java/gaugegw/balancer/RetryBudget.java
@@ -1,13 +1,13 @@
 package gaugegw.balancer;
 
 /**
- * The token bucket that limits retries to a share of the requests. Without it, each failed attempt of an overload would
- * add another one and so multiply the overload.
+ * A token bucket that limits retries to a fraction of the requests. Without it, each attempt that fails under overload
+ * would be followed by another one, which would multiply the overload.
  */
 final class RetryBudget {
-    /** Retries in the long run, as a share of the requests that arrive. */
+    /** The ratio of retries to arriving requests in the long run. */
     private static final double TOKENS_PER_REQUEST = 0.2;
-    /** Retries that may follow one another without new requests, as when an endpoint with several attempts fails. */
+    /** Retries that may start without new requests, such as when an endpoint with several attempts in flight fails. */
     private static final double MAX_TOKENS = 10;
 
     private static final double TOKENS_PER_RETRY = 1;
--- a/src/main/java/gaugegw/balancer/RetryPolicy.java
+++ b/src/main/java/gaugegw/balancer/RetryPolicy.java
@@ -1,9 +1,10 @@
 package gaugegw.balancer;
 
 /**
- * Decides whether a request whose attempts have all failed is attempted again: before its latency objective passes,
- * within the limit of attempts and the {@link RetryBudget}, and where {@link DuplicateExecutionGuard} permits a repeat. An
- * attempt that has timed out is not retried: its time-out, set by {@link AdmissionController}, lies past the objective.
+ * Decides whether a request whose attempts have all failed is attempted again: only before its latency objective
+ * passes, within the maximum number of attempts and the {@link RetryBudget}, and if {@link DuplicateExecutionGuard}
+ * permits an attempt at some ready endpoint. An attempt that has timed out is not retried, because the timeout that
+ * {@link AdmissionController} sets does not expire before the objective.
  */
 final class RetryPolicy {
     private final int maxAttempts;
@@ -14,7 +15,7 @@
     /**
      * Creates a policy with a full retry budget.
      *
-     * @param maxAttempts the most attempts of one request, the first included
+     * @param maxAttempts the maximum number of attempts of one request, including the first
      */
     RetryPolicy(int maxAttempts, EndpointMembership membership, DuplicateExecutionGuard duplicateGuard) {
         this.maxAttempts = maxAttempts;
@@ -22,12 +23,12 @@
         this.duplicateGuard = duplicateGuard;
     }
 
-    /** Takes the arrival of a request, which adds to the retry budget. */
+    /** Records the arrival of a request, which adds to the retry budget. */
     void recordRequest() {
         budget.recordRequest();
     }
 
-    /** Returns whether to retry a request whose attempts have all failed, and if so takes it from the budget. */
+    /** Returns whether to retry a request whose attempts have all failed. If so, charges the retry to the budget. */
     boolean tryRetry(PendingRequest request, long nowUs) {
         boolean retry = nowUs < request.objectiveAtUs()
                 && budget.permitsRetry()
@@ -39,7 +40,7 @@
         return retry;
     }
 
-    /** A request queued without an endpoint that may receive it would only take the place of another. */
+    /** Without a ready endpoint that may receive it, a request would only take the place of another in the queue. */
     private boolean hasPermittedEndpoint(PendingRequest request, long nowUs) {
         return membership.ready().stream()
                 .anyMatch(endpoint -> duplicateGuard.permitsAttempt(request, endpoint, nowUs));
--- a/src/main/java/gaugegw/balancer/TenantQuotas.java
+++ b/src/main/java/gaugegw/balancer/TenantQuotas.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * Separates requests within their tenant's quota from those over it, which get a lower priority weight: a tenant that
- * sends too much must not take the capacity of the others. Each proxy grants an equal part of the quota, in requests
- * per microsecond. Requests without a known tenant have no quota to exceed.
+ * Determines which requests are over their tenant's quota. These get a lower priority weight, so that a tenant that
+ * sends too much does not take capacity from the others. Each proxy grants an equal part of the quota. A request
+ * without a tenant, or of a tenant that is not in the settings, is never over quota.
  */
 final class TenantQuotas {
     private static final double MICROS_PER_SECOND = 1e6;
@@ -24,34 +24,39 @@
         }
     }
 
-    int count() {
+    int tenantCount() {
         return byTenant.size();
     }
 
-    /** Returns the number of a tenant from 0, or {@link #count()} if it is null or not known. */
-    int number(String tenant) {
+    /**
+     * Returns the index of a tenant, from 0, or {@link #tenantCount()} if the tenant is null or not in the settings.
+     */
+    int tenantIndex(String tenant) {
         Quota quota = byTenant.get(tenant);
-        return quota == null ? count() : quota.number;
+        return quota == null ? tenantCount() : quota.tenantIndex;
     }
 
-    /** Counts a request and returns whether it is over quota. A retry uses nothing, as the first attempt has. */
+    /**
+     * Returns whether a request is over quota, and counts it. A retry is not counted, as the first request has been.
+     */
     boolean isOverQuota(String tenant, boolean retry, long nowUs) {
         Quota quota = byTenant.get(tenant);
         return quota != null && !quota.admits(retry, nowUs, refreshUs);
     }
 
-    /** A tenant's token bucket. It holds up to one refresh period's requests. */
+    /** The token bucket of a tenant. It holds at most the quota of one refresh period. */
     private static final class Quota {
-        private final int number;
+        private final int tenantIndex;
         private final double requestsPerUs;
         private double tokens;
         private long refilledAtUs;
 
-        Quota(int number, double requestsPerUs) {
-            this.number = number;
+        Quota(int tenantIndex, double requestsPerUs) {
+            this.tenantIndex = tenantIndex;
             this.requestsPerUs = requestsPerUs;
         }
 
+        /** Returns whether a request is within the quota, and takes a token for it unless it is a retry. */
         boolean admits(boolean retry, long nowUs, long refreshUs) {
             tokens = Math.min(requestsPerUs * refreshUs, tokens + requestsPerUs * (nowUs - refilledAtUs));
             refilledAtUs = nowUs;
