--- a/src/main/java/gaugegw/balancer/AdmissionController.java
+++ b/src/main/java/gaugegw/balancer/AdmissionController.java
@@ -24,7 +24,7 @@
      */
     private static final double TIMEOUT_OBJECTIVE_MULTIPLE = 2;
 
-    private final ControlPeriods periods;
+    private final ControlParameters parameters;
     private final int flowCount;
     private final EndpointMembership membership;
     private final AdmissionQueue queue;
@@ -34,14 +34,14 @@
     private long wakeUpAtUs = Long.MIN_VALUE;
 
     AdmissionController(
-            ControlPeriods periods,
+            ControlParameters parameters,
             int flowCount,
             EndpointMembership membership,
             AdmissionQueue queue,
             ConcurrencyLimiter limiter,
             EarliestDeadlineSelector selector,
             RejectionPolicy rejection) {
-        this.periods = periods;
+        this.parameters = parameters;
         this.flowCount = flowCount;
         this.membership = membership;
         this.queue = queue;
@@ -127,7 +127,7 @@
         for (int position = queue.size() - 1; position >= 0; position--) {
             PendingRequest request = queue.get(position);
             boolean exceedsQueueLimit = position >= Math.max(limiter.limit(), 1);
-            if (request.giveUpAtUs() <= nowUs || membership.ready().isEmpty() || exceedsQueueLimit) {
+            if (request.giveUpAtUs() <= nowUs || membership.readyEndpoints().isEmpty() || exceedsQueueLimit) {
                 queue.remove(request);
                 rejection.rejectOrFail(request, nowUs, actions);
             }
@@ -141,7 +141,7 @@
     private void scheduleWakeUp(long nowUs, Consumer<Action> actions) {
         long nextGiveUpAtUs = queue.nextGiveUpAtUs();
         if (queue.size() > 0 && (nowUs >= wakeUpAtUs || nextGiveUpAtUs < wakeUpAtUs)) {
-            wakeUpAtUs = Math.min(nowUs + periods.latencyBudgetUs() / WAKE_UPS_PER_LATENCY_BUDGET, nextGiveUpAtUs);
+            wakeUpAtUs = Math.min(nowUs + parameters.latencyBudgetUs() / WAKE_UPS_PER_LATENCY_BUDGET, nextGiveUpAtUs);
             actions.accept(new Action.SetTimer(wakeUpAtUs, TIMER_TOKEN));
         }
     }
--- a/src/main/java/gaugegw/balancer/ConcurrencyLimiter.java
+++ b/src/main/java/gaugegw/balancer/ConcurrencyLimiter.java
@@ -27,9 +27,9 @@
     private static final double OVERLOAD_TIMEOUT_SHARE = 0.08;
 
     private final int proxyCount;
-    private final ControlPeriods periods;
+    private final ControlParameters parameters;
     private final EndpointMembership membership;
-    private final LoadMeasurement load;
+    private final LoadStatistics load;
     private final OutcomeRates rates;
     /** Oldest first. */
     private final Set<AttemptRecord> inFlight = new LinkedHashSet<>();
@@ -42,12 +42,12 @@
 
     ConcurrencyLimiter(
             int proxyCount,
-            ControlPeriods periods,
+            ControlParameters parameters,
             EndpointMembership membership,
-            LoadMeasurement load,
+            LoadStatistics load,
             OutcomeRates rates) {
         this.proxyCount = proxyCount;
-        this.periods = periods;
+        this.parameters = parameters;
         this.membership = membership;
         this.load = load;
         this.rates = rates;
@@ -59,7 +59,7 @@
     void update(long nowUs) {
         limit = computeLimit(nowUs);
         double unusedSinceUs = (limit - countedAttempts(nowUs)) * (nowUs - updatedAtUs);
-        unusedLimitUs = Math.min(limit * periods.refreshUs(), unusedLimitUs + unusedSinceUs);
+        unusedLimitUs = Math.min(limit * parameters.refreshPeriodUs(), unusedLimitUs + unusedSinceUs);
         updatedAtUs = nowUs;
     }
 
@@ -87,14 +87,14 @@
         int counted = countedAttempts(nowUs);
         return counted < Math.max(limit, MIN_ATTEMPTS_PER_ENDPOINT)
                 && (counted + 1 <= limit
-                        || unusedLimitUs >= -request.lowerPriorityShare() * limit * periods.refreshUs());
+                        || unusedLimitUs >= -request.lowerPriorityShare() * limit * parameters.refreshPeriodUs());
     }
 
     /** Returns the number of answers expected in a latency budget, but at least what keeps the endpoints busy. */
     private double computeLimit(long nowUs) {
-        double latencyUs = Math.max(periods.latencyBudgetUs(), LATENCY_HEADROOM * load.unloadedLatencyUs());
-        double byAnswerRate = load.answersPerUs(nowUs) * latencyUs;
-        double endpointsPerProxy = membership.ready().size() / (double) proxyCount;
+        double latencyUs = Math.max(parameters.latencyBudgetUs(), LATENCY_HEADROOM * load.unloadedLatencyUs());
+        double byAnswerRate = load.responsesPerUs(nowUs) * latencyUs;
+        double endpointsPerProxy = membership.readyEndpoints().size() / (double) proxyCount;
         double extraPerEndpoint = endpointsPerProxy < 1 ? extraAttemptsPerEndpoint() : 0;
         return Math.max(byAnswerRate, endpointsPerProxy * (MIN_ATTEMPTS_PER_ENDPOINT + extraPerEndpoint));
     }
@@ -108,15 +108,15 @@
     private double extraAttemptsPerEndpoint() {
         double busyCores = load.endpointThroughputPerUs() * proxyCount * load.unloadedLatencyUs();
         double cores = Math.min(MIN_ATTEMPTS_PER_ENDPOINT, Math.max(1, busyCores));
-        return cores * (1 - rates.rejectionShare()) - rates.rejectionShare();
+        return cores * (1 - rates.rejectionRate()) - rates.rejectionRate();
     }
 
     /** Returns the attempts in flight except for hung ones, which would keep requests from endpoints that are idle. */
     private int countedAttempts(long nowUs) {
-        if (!load.hasReliableLatency() || rates.timeoutShare() > OVERLOAD_TIMEOUT_SHARE) {
+        if (!load.hasReliableLatency() || rates.timeoutRate() > OVERLOAD_TIMEOUT_SHARE) {
             return inFlight.size();
         }
-        double hungUs = Math.max(periods.latencyBudgetUs(), HUNG_LATENCY_MULTIPLE * load.meanLatencyUs());
+        double hungUs = Math.max(parameters.latencyBudgetUs(), HUNG_LATENCY_MULTIPLE * load.meanLatencyUs());
         int hung = 0;
         for (AttemptRecord attempt : inFlight) {
             if (nowUs - attempt.startedAtUs() < hungUs) {
--- a/src/main/java/gaugegw/balancer/RetryPolicy.java
+++ b/src/main/java/gaugegw/balancer/RetryPolicy.java
@@ -42,7 +42,7 @@
 
     /** Without a ready endpoint that may receive it, a request would only take the place of another in the queue. */
     private boolean hasPermittedEndpoint(PendingRequest request, long nowUs) {
-        return membership.ready().stream()
+        return membership.readyEndpoints().stream()
                 .anyMatch(endpoint -> duplicateGuard.permitsAttempt(request, endpoint, nowUs));
     }
 }
--- a/src/main/java/gaugegw/proxy/dispatch/ActionExecutor.java
+++ b/src/main/java/gaugegw/proxy/dispatch/ActionExecutor.java
@@ -52,9 +52,9 @@
         } else if (action instanceof Action.SetTimer timer) {
             setTimer(timer);
         } else if (action instanceof Action.Reject reject) {
-            requests.answerIfOpen(reject.requestId(), sink -> sink.rejected(reject.retryAfterUs()));
+            requests.answerIfOpen(reject.requestId(), sink -> sink.sendRejection(reject.retryAfterUs()));
         } else if (action instanceof Action.Fail fail) {
-            requests.answerIfOpen(fail.requestId(), ResponseSink::failed);
+            requests.answerIfOpen(fail.requestId(), ResponseSink::sendFailure);
         } else if (action instanceof Action.CancelAttempt cancel) {
             attempts.cancel(cancel);
         } else if (action instanceof Action.CloseIdleConnections close) {
@@ -64,7 +64,7 @@
         } else if (action instanceof Action.FetchEndpoints) {
             endpointWatcher.fetch();
         } else if (action instanceof Action.LogMessage message) {
-            log.line(message.text());
+            log.write(message.text());
         } else if (action instanceof Action.CheckHealth) {
             throw new UnsupportedOperationException("the proxy sends no health checks");
         } else {
@@ -73,7 +73,7 @@
     }
 
     private void setTimer(Action.SetTimer timer) {
-        long delayUs = Math.max(0, timer.atUs() - clock.now());
+        long delayUs = Math.max(0, timer.atUs() - clock.nowUs());
         loop.schedule(() -> events.deliver(new Event.TimerFired(timer.token())), delayUs, TimeUnit.MICROSECONDS);
     }
 }
--- a/src/main/java/gaugegw/proxy/dispatch/AttemptStarter.java
+++ b/src/main/java/gaugegw/proxy/dispatch/AttemptStarter.java
@@ -72,7 +72,7 @@
      * it where the action has 0. Not above 0 once the deadline has passed.
      */
     private long timeoutUs(DispatchedRequest request, Action.StartAttempt action) {
-        long remainingUs = request.deadlineAtUs() - clock.now();
+        long remainingUs = request.deadlineAtUs() - clock.nowUs();
         return action.timeoutUs() == 0 ? remainingUs : Math.min(action.timeoutUs(), remainingUs);
     }
 
@@ -98,7 +98,7 @@
             UpstreamResponse response) {
         request.attemptEnded();
         if (outcome == AttemptOutcome.SUCCESS && request.isOpen()) {
-            requests.answer(request, sink -> sink.served(response));
+            requests.answer(request, sink -> sink.sendResponse(response));
         } else if (response != null) {
             response.body().release();
         }
--- a/src/main/java/gaugegw/proxy/dispatch/RequestDispatcher.java
+++ b/src/main/java/gaugegw/proxy/dispatch/RequestDispatcher.java
@@ -74,13 +74,13 @@
     /** Takes a request over; the sink is called now or later, unless the client disconnects before. */
     public void requestArrived(ClientRequest clientRequest, ResponseSink responseSink) {
         assert loop.inEventLoop();
-        long now = clock.now();
+        long now = clock.nowUs();
         if (terminating) {
-            responseSink.rejected(0);
+            responseSink.sendRejection(0);
             return;
         }
         if (now >= clientRequest.deadlineAtUs()) {
-            responseSink.failed();
+            responseSink.sendFailure();
             return;
         }
         var request = new DispatchedRequest(clientRequest, responseSink);
@@ -127,7 +127,7 @@
 
     private void failIfOpen(DispatchedRequest request) {
         if (request.isOpen()) {
-            requests.answer(request, ResponseSink::failed);
+            requests.answer(request, ResponseSink::sendFailure);
             abandon(request);
         }
     }
@@ -139,7 +139,7 @@
     private void abandon(DispatchedRequest request) {
         events.deliver(new Event.ClientDisconnected(request.id()));
         for (UpstreamAttempt attempt : request.attempts()) {
-            if (!attempt.isWritten()) {
+            if (!attempt.isRequestWritten()) {
                 attempt.abort(AttemptOutcome.NOT_SENT);
             }
         }
@@ -153,9 +153,9 @@
     /** An error in the load balancer costs the request that the event concerned, and no other. */
     private void loadBalancerFailed(Event event) {
         if (event instanceof Event.RequestArrived arrived) {
-            requests.answerIfOpen(arrived.requestId(), ResponseSink::failed);
+            requests.answerIfOpen(arrived.requestId(), ResponseSink::sendFailure);
         } else if (event instanceof Event.AttemptEnded ended) {
-            requests.answerIfOpen(ended.requestId(), ResponseSink::failed);
+            requests.answerIfOpen(ended.requestId(), ResponseSink::sendFailure);
         }
     }
 }
--- a/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
@@ -67,7 +67,7 @@
                 dispatcher,
                 limiter,
                 settings,
-                () -> endpointWatcher.firstCallEnded().isDone() && upstreams.hasReadyEndpoint());
+                () -> endpointWatcher.firstCallFuture().isDone() && upstreams.hasReadyEndpoint());
         shutdown = new GracefulShutdown(loop, log, config, frontend, dispatcher);
     }
 
@@ -97,7 +97,7 @@
         loop.execute(() -> endpointWatcher.loadCachedEndpoints(config.cachedEndpoints()));
         if (endpointWatcher.hasLocalAgent()) {
             // A pushed update binds a proxy from its first request on, so no client may be accepted before its arrival.
-            endpointWatcher.firstCallEnded().awaitUninterruptibly();
+            endpointWatcher.firstCallFuture().awaitUninterruptibly();
         }
         return frontend.listen(transport, config.listenAddress());
     }
@@ -118,19 +118,19 @@
     void applyConfig(ProxyConfig changed) {
         InetSocketAddress address = changed.discoveryAddress();
         loop.execute(() -> {
-            log.line(config.name() + ": configuration reloaded, discovery address " + address);
-            endpointWatcher.moveTo(address);
+            log.write(config.name() + ": configuration reloaded, discovery address " + address);
+            endpointWatcher.changeAddress(address);
         });
     }
 
     /** Logs why a new configuration can't be used; the one in force stays so. */
     void rejectConfig(Exception reason) {
-        loop.execute(() -> log.line("the new configuration is left alone: " + reason.getMessage()));
+        loop.execute(() -> log.write("the new configuration is left alone: " + reason.getMessage()));
     }
 
     /** Logs a line under the proxy's name. */
     void report(String text) {
-        loop.execute(() -> log.line(config.name() + ": " + text));
+        loop.execute(() -> log.write(config.name() + ": " + text));
     }
 
     /** Answers all requests in flight, has the clients reconnect elsewhere, and returns in time for the process to end. */
