--- a/src/main/java/gaugegw/proxy/dispatch/ActionExecutor.java
+++ b/src/main/java/gaugegw/proxy/dispatch/ActionExecutor.java
@@ -9,7 +9,10 @@
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
 
-/** Executes the load balancer's actions; the one place that dispatches on the type of an {@link Action}. Event loop only. */
+/**
+ * Executes the load balancer's actions. This is the only class that distinguishes the types of {@link Action}. Used on
+ * the event loop only.
+ */
 final class ActionExecutor {
     private final Clock clock;
     private final EventLoop loop;
@@ -42,9 +45,10 @@
     }
 
     /**
-     * Executes one action. One that concerns a request or an attempt which is no longer there does nothing.
+     * Executes one action. Does nothing if the request or attempt that the action concerns no longer exists.
      *
-     * @throws UnsupportedOperationException for a health check: the settings of a proxy on sockets allow none
+     * @throws UnsupportedOperationException for {@link Action.CheckHealth}: the settings of a deployed proxy never
+     *     permit health checks
      */
     void execute(Action action) {
         if (action instanceof Action.StartAttempt start) {
@@ -52,9 +56,9 @@
         } else if (action instanceof Action.SetTimer timer) {
             setTimer(timer);
         } else if (action instanceof Action.Reject reject) {
-            requests.answerIfOpen(reject.requestId(), sink -> sink.sendRejection(reject.retryAfterUs()));
+            requests.respondIfOpen(reject.requestId(), sink -> sink.sendRejection(reject.retryAfterUs()));
         } else if (action instanceof Action.Fail fail) {
-            requests.answerIfOpen(fail.requestId(), ResponseSink::sendFailure);
+            requests.respondIfOpen(fail.requestId(), ResponseSink::sendFailure);
         } else if (action instanceof Action.CancelAttempt cancel) {
             attempts.cancel(cancel);
         } else if (action instanceof Action.CloseIdleConnections close) {
@@ -66,9 +70,9 @@
         } else if (action instanceof Action.LogMessage message) {
             log.write(message.text());
         } else if (action instanceof Action.CheckHealth) {
-            throw new UnsupportedOperationException("the proxy sends no health checks");
+            throw new UnsupportedOperationException("the proxy does not implement health checks");
         } else {
-            throw new IllegalArgumentException("unknown action");
+            throw new IllegalArgumentException("unknown type of action");
         }
     }
 
--- a/src/main/java/gaugegw/proxy/dispatch/AttemptStarter.java
+++ b/src/main/java/gaugegw/proxy/dispatch/AttemptStarter.java
@@ -11,9 +11,9 @@
 import java.util.Optional;
 
 /**
- * Starts and cancels attempts as the load balancer demands, and reports the one end of each to it. Whatever is demanded,
- * an attempt begins only within {@link Limits} and while its client waits; one that can't begin ends as
- * {@link AttemptOutcome#NOT_SENT}. Event loop only.
+ * Starts and cancels attempts when the load balancer asks for it, and reports the end of each attempt to it once. An
+ * attempt starts only if {@link Limits} permit it, the client still waits for its response and the endpoint accepts it.
+ * Otherwise it ends at once with {@link AttemptOutcome#NOT_SENT}. Used on the event loop only.
  */
 final class AttemptStarter {
     private final Clock clock;
@@ -30,7 +30,10 @@
         this.upstream = upstream;
     }
 
-    /** Starts an attempt, or reports at once that it could not begin; does nothing for a request that is not known. */
+    /**
+     * Starts an attempt, or reports {@link AttemptOutcome#NOT_SENT} at once if it can't start. Does nothing if the
+     * request no longer exists.
+     */
     void start(Action.StartAttempt action) {
         DispatchedRequest request = requests.find(action.requestId());
         if (request == null) {
@@ -47,13 +50,17 @@
         }
     }
 
-    /** Returns an attempt that is yet to be started, or empty where none may begin or the endpoint can take none. */
+    /**
+     * Creates an attempt without starting it. Returns empty if the limits permit no further attempt, the client has
+     * disconnected, or the endpoint accepts none.
+     */
     private Optional<UpstreamAttempt> newAttempt(DispatchedRequest request, int number, Action.StartAttempt action) {
         long timeoutUs = timeoutUs(request, action);
         if (!request.isOpen() || !isWithinLimits(request, number, timeoutUs)) {
             return Optional.empty();
         }
-        // An attempt for a client that has gone, with its close still unread, would be wasted work for the backend.
+        // The client may have closed its connection without the event loop having read that yet. An attempt would then
+        // be wasted work for the backend.
         request.detectDisconnect();
         if (!request.isOpen()) {
             return Optional.empty();
@@ -68,15 +75,19 @@
     }
 
     /**
-     * Returns the time-out of an attempt that begins now, in microseconds: never beyond the request's deadline, and up to
-     * it where the action has 0. Not above 0 once the deadline has passed.
+     * Returns the timeout of an attempt that starts now, in microseconds: the action's timeout, but at most the time
+     * left until the request's deadline. A timeout of 0 in the action stands for all the time left. Returns 0 or less
+     * once the deadline has passed.
      */
     private long timeoutUs(DispatchedRequest request, Action.StartAttempt action) {
         long remainingUs = request.deadlineAtUs() - clock.nowUs();
         return action.timeoutUs() == 0 ? remainingUs : Math.min(action.timeoutUs(), remainingUs);
     }
 
-    /** Guards against too many attempts, and against a hedged request where the settings allow none. */
+    /**
+     * Returns whether another attempt is permitted: the request has had fewer than the maximum, there is time left, and
+     * no other attempt is in flight unless the settings permit hedging.
+     */
     private boolean isWithinLimits(DispatchedRequest request, int number, long timeoutUs) {
         return number < limits.maxAttempts() && timeoutUs > 0 && (!request.hasAttemptInFlight() || limits.hedging());
     }
@@ -88,7 +99,10 @@
         }
     }
 
-    /** Answers the client first, then reports the end. A response that no client waits for is released here. */
+    /**
+     * Responds to the client first, then reports the end of the attempt. Releases the response if the client no longer
+     * waits for one.
+     */
     private void attemptEnded(
             DispatchedRequest request,
             int number,
@@ -98,7 +112,7 @@
             UpstreamResponse response) {
         request.attemptEnded();
         if (outcome == AttemptOutcome.SUCCESS && request.isOpen()) {
-            requests.answer(request, sink -> sink.sendResponse(response));
+            requests.respond(request, sink -> sink.sendResponse(response));
         } else if (response != null) {
             response.body().release();
         }
--- a/src/main/java/gaugegw/proxy/dispatch/ClientRequest.java
+++ b/src/main/java/gaugegw/proxy/dispatch/ClientRequest.java
@@ -3,16 +3,17 @@
 import gaugegw.proxy.upstream.UpstreamRequest;
 
 /**
- * A request that a client has sent completely.
+ * A request that the proxy has received completely from a client.
  *
- * @param id the client's request id, unique among the requests being served
- * @param requestClass the name of its class, one of those in the settings
- * @param tenant the name of its tenant; null where the settings have no tenants
- * @param key what the request concerns, for cache affinity; null where it has none
- * @param retry whether the client has marked it as a retry of its own
- * @param deadlineAtUs on the proxy's clock, in microseconds: the last moment at which a response can leave the proxy and
- *     still reach the client before it gives up
- * @param upstreamRequest what is forwarded to a backend; its body stays the property of the client's side, which releases it
+ * @param id the request id that the client has set, unique among the requests in flight
+ * @param requestClass the name of the request class, one of those in the settings
+ * @param tenant the name of the tenant; null if the settings define no tenants
+ * @param key the object that the request is about, for cache affinity; null if the client names none
+ * @param retry whether the client has marked the request as a retry
+ * @param deadlineAtUs the latest time at which a response can leave the proxy and still reach the client before it
+ *     gives up, on the proxy's clock, in microseconds
+ * @param upstreamRequest the request to forward to a backend; its body belongs to the client connection, which releases
+ *     it
  */
 public record ClientRequest(
         String id,
--- a/src/main/java/gaugegw/proxy/dispatch/DispatchedRequest.java
+++ b/src/main/java/gaugegw/proxy/dispatch/DispatchedRequest.java
@@ -9,22 +9,23 @@
 import java.util.function.Consumer;
 
 /**
- * A request and its attempts. It is kept until it has ended and no attempt of it is in flight. Event loop only.
+ * A request and its attempts. A request ends with its response or when its client disconnects; it is kept until none of
+ * its attempts is in flight any more. Used on the event loop only.
  */
 final class DispatchedRequest {
-    /** What its client is still owed; a request leaves {@link #OPEN} once and never returns to it. */
+    /** Whether the client still waits for its response. A request leaves {@link #OPEN} once and never returns to it. */
     private enum State {
-        /** The client waits for the one response. */
+        /** The client waits for its response. */
         OPEN,
         /** The response has been handed to the {@link ResponseSink}. */
-        ANSWERED,
-        /** The client has closed its connection, and no response is sent. */
+        RESPONDED,
+        /** The client has disconnected before its response; none is sent. */
         CLIENT_DISCONNECTED
     }
 
     private final ClientRequest clientRequest;
     private final ResponseSink responseSink;
-    /** In the order in which the load balancer started them; empty where an attempt could not begin. */
+    /** The attempts by their number, from 0; an empty element is an attempt that could not start. */
     private final List<Optional<UpstreamAttempt>> attempts = new ArrayList<>(2);
 
     private int attemptsInFlight;
@@ -40,7 +41,7 @@
         return clientRequest.id();
     }
 
-    /** Returns the last useful moment of a response, on the proxy's clock, in microseconds. */
+    /** Returns the latest time at which a response is of use to the client, on the proxy's clock, in microseconds. */
     long deadlineAtUs() {
         return clientRequest.deadlineAtUs();
     }
@@ -49,7 +50,7 @@
         return clientRequest.upstreamRequest();
     }
 
-    /** Hands over the timer that is cancelled when the request ends. */
+    /** Sets the timer to cancel when the request ends. */
     void setOverdueTimer(Future<?> timer) {
         overdueTimer = timer;
     }
@@ -59,32 +60,33 @@
         return state == State.OPEN;
     }
 
-    /** Returns whether nothing more happens to the request: it has ended, and no attempt is in flight. */
+    /** Returns whether the request has ended and no attempt is in flight, so that nothing more can happen to it. */
     boolean isComplete() {
         return state != State.OPEN && attemptsInFlight == 0;
     }
 
-    /** Looks whether the client has closed its connection; where it has, the request has ended on return. */
+    /** Checks whether the client has closed its connection; if it has, the request has ended when this returns. */
     void detectDisconnect() {
         responseSink.detectDisconnect();
     }
 
     /**
-     * Ends the request with its one response.
+     * Ends the request and sends its only response.
      *
-     * @throws RuntimeException if the response could not be sent; the client is still owed one
+     * @param responder calls the method of the sink that sends the response
+     * @throws RuntimeException if the response could not be sent; the client then still waits for one
      */
-    void answer(Consumer<ResponseSink> response) {
-        end(State.ANSWERED);
-        response.accept(responseSink);
+    void respond(Consumer<ResponseSink> responder) {
+        end(State.RESPONDED);
+        responder.accept(responseSink);
     }
 
-    /** Sends a failure in place of a response that could not be sent. */
-    void replaceResponseByFailure() {
+    /** Sends a failure after {@link #respond} has thrown an exception. */
+    void sendFailureInstead() {
         responseSink.sendFailure();
     }
 
-    /** Ends the request without a response. */
+    /** Ends the request without a response, as its client has disconnected. */
     void clientDisconnected() {
         end(State.CLIENT_DISCONNECTED);
     }
@@ -94,7 +96,7 @@
         overdueTimer.cancel(false);
     }
 
-    /** Returns how many attempts the load balancer has started, those that could not begin included. */
+    /** Returns how many attempts the load balancer has asked for, including those that could not start. */
     int attemptCount() {
         return attempts.size();
     }
@@ -103,7 +105,11 @@
         return attemptsInFlight > 0;
     }
 
-    /** Adds the next attempt, which goes in flight; empty: it could not begin, but keeps its number. */
+    /**
+     * Adds the next attempt, which is in flight from now on.
+     *
+     * @param attempt empty if the attempt could not start; its number is not used again
+     */
     void addAttempt(Optional<UpstreamAttempt> attempt) {
         attempts.add(attempt);
         if (attempt.isPresent()) {
@@ -111,17 +117,20 @@
         }
     }
 
-    /** Takes note of the one end of an attempt that was in flight. */
+    /** Counts down the attempts in flight; called once for each, at its end. */
     void attemptEnded() {
         attemptsInFlight--;
     }
 
-    /** Returns an attempt by its number, or empty where there is none or it could not begin. */
+    /** Returns the attempt with a given number; empty if there is none or it could not start. */
     Optional<UpstreamAttempt> attempt(int number) {
         return number < attempts.size() ? attempts.get(number) : Optional.empty();
     }
 
-    /** Returns a copy of the attempts that have begun, in their order. */
+    /**
+     * Returns a copy of the list of attempts, in order. It includes those that have ended, but not those that could not
+     * start.
+     */
     List<UpstreamAttempt> attempts() {
         return attempts.stream().flatMap(Optional::stream).toList();
     }
--- a/src/main/java/gaugegw/proxy/dispatch/EventQueue.java
+++ b/src/main/java/gaugegw/proxy/dispatch/EventQueue.java
@@ -13,8 +13,8 @@
 import java.util.function.Consumer;
 
 /**
- * Hands events to the load balancer one at a time. An action may cause the next event: that one waits until all
- * actions of the event before it have been executed. Event loop only.
+ * Delivers events to the load balancer one at a time. The execution of an action may cause another event; that one
+ * waits until all actions of the current event have been executed. Used on the event loop only.
  */
 final class EventQueue {
     private final Clock clock;
@@ -24,7 +24,7 @@
     private final Consumer<Action> actionExecutor;
     private final Consumer<Event> failureHandler;
     private final Queue<Event> events = new ArrayDeque<>();
-    /** The actions that the event being delivered has caused. */
+    /** The actions that the load balancer has requested for the current event. */
     private final List<Action> actions = new ArrayList<>();
 
     private boolean delivering;
@@ -32,9 +32,9 @@
     /**
      * Creates an empty queue.
      *
-     * @param actionExecutor executes each action, in the order in which the load balancer gave them
-     * @param failureHandler receives each event on which the load balancer threw, before the actions that it had given
-     *     until then are executed
+     * @param actionExecutor executes each action; called in the order in which the load balancer requested them
+     * @param failureHandler called with each event on which the load balancer has thrown an exception, before the
+     *     actions that it requested until then are executed
      */
     EventQueue(
             Clock clock,
@@ -52,8 +52,8 @@
     }
 
     /**
-     * Delivers an event and executes what it causes before it returns; or, where it is called by an action that is being
-     * executed, leaves the event to the delivery that is under way.
+     * Delivers an event and executes the resulting actions before it returns. If it is called while an action is being
+     * executed, it only queues the event; the delivery in progress handles it.
      */
     void deliver(Event event) {
         assert loop.inEventLoop();
@@ -75,7 +75,9 @@
         try {
             loadBalancer.handle(clock.nowUs(), event, actions::add);
         } catch (RuntimeException e) {
-            log.writeException("the load balancer failed on " + event, e);
+            log.writeException(
+                    "the load balancer threw an exception on " + event + "; failing the request it concerns, if any",
+                    e);
             failureHandler.accept(event);
         }
         for (Action action : actions) {
@@ -88,8 +90,8 @@
         try {
             actionExecutor.accept(action);
         } catch (RuntimeException e) {
-            // An action that fails must not take the others of its event with it.
-            log.writeException("could not execute " + action, e);
+            // The other actions of the event are still executed.
+            log.writeException("could not execute the action " + action + "; continuing with the next one", e);
         }
     }
 }
--- a/src/main/java/gaugegw/proxy/dispatch/RequestDispatcher.java
+++ b/src/main/java/gaugegw/proxy/dispatch/RequestDispatcher.java
@@ -17,9 +17,10 @@
 import java.util.List;
 
 /**
- * Stands between the load balancer and the sockets: turns what happens to clients, attempts and the endpoint list into
- * events, and has the load balancer's actions executed. It makes no decision of its own, except that each request is
- * answered in time whatever the load balancer does. All methods but {@link #openRequests} are called on the event loop.
+ * Connects the load balancer with the proxy's connections. It turns what happens to clients, attempts and the endpoint
+ * list into events, and has the load balancer's actions executed. It makes no decisions of its own, with one exception:
+ * it fails a request to which the load balancer has not responded by the deadline. All methods are called on the event
+ * loop, except for {@link #openRequests} and {@link #setEndpointWatcher}.
  */
 public final class RequestDispatcher implements EndpointUpdateListener {
     private final Clock clock;
@@ -50,28 +51,28 @@
     }
 
     /**
-     * Sets the watcher that the load balancer's actions control. Called once, before any event: the watcher needs this
-     * dispatcher as its listener and so is created after it.
+     * Sets the watcher that the load balancer's actions control. Called once, before the first event. The watcher is
+     * not a constructor parameter, because it needs this dispatcher as its listener.
      */
     public void setEndpointWatcher(EndpointWatcher watcher) {
         actions.setEndpointWatcher(watcher);
     }
 
     /**
-     * Returns the number of requests that are open or have an attempt in flight. On any other thread than the event loop
-     * the number may be out of date.
+     * Returns the number of requests that are open or have an attempt in flight. May be called on any thread; outside
+     * the event loop the number may be out of date.
      */
     public int openRequests() {
         return requests.size();
     }
 
-    /** Returns whether a request of this id is open or has an attempt in flight. */
+    /** Returns whether the request with a given id is open or has an attempt in flight. */
     public boolean isServing(String id) {
         assert loop.inEventLoop();
         return requests.contains(id);
     }
 
-    /** Takes a request over; the sink is called now or later, unless the client disconnects before. */
+    /** Accepts a request. The sink is called before this returns or later, unless the client disconnects first. */
     public void requestArrived(ClientRequest clientRequest, ResponseSink responseSink) {
         assert loop.inEventLoop();
         long now = clock.nowUs();
@@ -95,7 +96,7 @@
                 clientRequest.retry()));
     }
 
-    /** The client has closed its connection before it had a response. Does nothing once the request has ended. */
+    /** Handles the disconnect of a client that waits for a response. Does nothing if the request has already ended. */
     public void clientDisconnected(String id) {
         assert loop.inEventLoop();
         DispatchedRequest request = requests.find(id);
@@ -106,8 +107,8 @@
     }
 
     /**
-     * Fails all open requests, and rejects each one that arrives from now on: the process is about to end, and a request
-     * without a response would be lost.
+     * Fails all open requests, and rejects those that arrive from now on. Called when the process is about to end, so
+     * that no request is left without a response.
      */
     public void failAll() {
         assert loop.inEventLoop();
@@ -121,20 +122,21 @@
         List<UpstreamAttempt> unsent = kind == UpdateKind.POLL_FAILED ? List.of() : upstream.applyUpdate(kind, listed);
         events.deliver(new Event.EndpointUpdate(
                 kind, listed.stream().map(ListedEndpoint::endpoint).toList()));
-        // Only now: the load balancer knows the list by the time it retries them, and chooses other endpoints.
+        // After the event: when the load balancer retries these, it knows the new list and chooses other endpoints.
         unsent.forEach(attempt -> attempt.abort(AttemptOutcome.NOT_SENT));
     }
 
     private void failIfOpen(DispatchedRequest request) {
         if (request.isOpen()) {
-            requests.answer(request, ResponseSink::sendFailure);
+            requests.respond(request, ResponseSink::sendFailure);
             abandon(request);
         }
     }
 
     /**
-     * Nothing more is owed to a client: an attempt that has not been written completely is not written at all. One that has
-     * been written ends only if the load balancer cancels it, which the settings may forbid.
+     * Reports that the client no longer waits for a response, and aborts the attempts whose request has not been
+     * written completely. An attempt that has been written goes on unless the load balancer cancels it, which the
+     * settings may forbid.
      */
     private void abandon(DispatchedRequest request) {
         events.deliver(new Event.ClientDisconnected(request.id()));
@@ -150,12 +152,12 @@
         actions.execute(action);
     }
 
-    /** An error in the load balancer costs the request that the event concerned, and no other. */
+    /** Fails the request that the event concerned; the exception in the load balancer affects no other request. */
     private void loadBalancerFailed(Event event) {
         if (event instanceof Event.RequestArrived arrived) {
-            requests.answerIfOpen(arrived.requestId(), ResponseSink::sendFailure);
+            requests.respondIfOpen(arrived.requestId(), ResponseSink::sendFailure);
         } else if (event instanceof Event.AttemptEnded ended) {
-            requests.answerIfOpen(ended.requestId(), ResponseSink::sendFailure);
+            requests.respondIfOpen(ended.requestId(), ResponseSink::sendFailure);
         }
     }
 }
--- a/src/main/java/gaugegw/proxy/dispatch/RequestTable.java
+++ b/src/main/java/gaugegw/proxy/dispatch/RequestTable.java
@@ -6,7 +6,10 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The requests that are open or have an attempt in flight, by their ids. Event loop only, but for {@link #size}. */
+/**
+ * The requests that are open or have an attempt in flight, by id. Used on the event loop only, except for
+ * {@link #size}.
+ */
 final class RequestTable {
     private final Map<String, DispatchedRequest> requests = new HashMap<>();
     private final RateLimitedLog log;
@@ -19,7 +22,7 @@
         requests.put(request.id(), request);
     }
 
-    /** Returns a request, or null where it is complete or was never there. */
+    /** Returns the request with a given id; null if there is none or it is complete. */
     DispatchedRequest find(String id) {
         return requests.get(id);
     }
@@ -32,34 +35,35 @@
         return requests.size();
     }
 
-    /** Returns a copy, which stays as it is while its requests end. */
+    /** Returns a copy of the list of requests, which does not change when requests end. */
     List<DispatchedRequest> snapshot() {
         return List.copyOf(requests.values());
     }
 
-    /** Ends an open request with its one response; where that can't be sent the response is a failure. */
-    void answer(DispatchedRequest request, Consumer<ResponseSink> response) {
+    /** Ends an open request with its only response. If that can't be sent, sends a failure instead. */
+    void respond(DispatchedRequest request, Consumer<ResponseSink> responder) {
         try {
-            request.answer(response);
+            request.respond(responder);
         } catch (RuntimeException e) {
-            // Without any response the request would be lost.
-            log.writeException("could not answer " + request.id(), e);
-            request.replaceResponseByFailure();
+            // Without any response the client would wait until it gives up.
+            log.writeException(
+                    "could not send the response to request " + request.id() + "; sending a failure instead", e);
+            request.sendFailureInstead();
         }
     }
 
-    /** Answers a request if it is there and still open. */
-    void answerIfOpen(String id, Consumer<ResponseSink> response) {
+    /** Responds to the request with a given id; does nothing unless there is one and it is open. */
+    void respondIfOpen(String id, Consumer<ResponseSink> responder) {
         DispatchedRequest request = requests.get(id);
         if (request != null && request.isOpen()) {
-            answer(request, response);
+            respond(request, responder);
             removeIfComplete(request);
         }
     }
 
     void removeIfComplete(DispatchedRequest request) {
         if (request.isComplete()) {
-            // Only this one: its id may by now belong to a later request.
+            // Removes this request only: a later one may have the same id by now.
             requests.remove(request.id(), request);
         }
     }
--- a/src/main/java/gaugegw/proxy/dispatch/ResponseSink.java
+++ b/src/main/java/gaugegw/proxy/dispatch/ResponseSink.java
@@ -3,27 +3,28 @@
 import gaugegw.proxy.upstream.UpstreamResponse;
 
 /**
- * The client's side of a request. Exactly one of {@link #sendResponse}, {@link #sendRejection} and {@link #sendFailure}
- * is called, once, or none where the client has disconnected before; {@link #sendFailure} also follows on one that threw.
- * All calls are made on the event loop.
+ * Sends the response to a request, on the client's connection. Exactly one of {@link #sendResponse},
+ * {@link #sendRejection} and {@link #sendFailure} is called, once; none is called if the client disconnects first. If
+ * the call throws an exception, {@link #sendFailure} is called after it. All methods are called on the event loop.
  */
 public interface ResponseSink {
     /**
-     * Reads what the client has sent, unless that was done a moment ago: its close may lie unread while the event loop
-     * is busy. Where the client has closed, {@link RequestDispatcher#clientDisconnected} is called before this returns.
+     * Checks whether the client has closed its connection, by reading what has arrived on it: while the event loop is
+     * busy, a close may have arrived without having been read. Reads nothing if that was done a moment ago. If the
+     * client has closed, {@link RequestDispatcher#clientDisconnected} is called before this returns.
      */
     void detectDisconnect();
 
-    /** Answers with a backend's response; the sink releases its body. */
+    /** Sends a backend's response; the sink releases its body. */
     void sendResponse(UpstreamResponse response);
 
     /**
-     * Answers that the request was rejected and that a retry is harmless.
+     * Responds that the request was rejected and that a retry is harmless.
      *
-     * @param retryAfterUs the time after which the client should retry, in microseconds; 0: no advice
+     * @param retryAfterUs the time that the client should wait before a retry, in microseconds; 0 for no advice
      */
     void sendRejection(long retryAfterUs);
 
-    /** Answers that the request has failed; it may have been executed. */
+    /** Responds that the request has failed and may have been executed. */
     void sendFailure();
 }
