--- a/src/main/java/gaugegw/proxy/config/ConfigFileWatcher.java
+++ b/src/main/java/gaugegw/proxy/config/ConfigFileWatcher.java
@@ -7,24 +7,26 @@
 import java.nio.file.attribute.FileTime;
 
 /**
- * Polls the configuration file for replacement, for a process that can't receive the signal to reload it. While the
- * file is missing or invalid, the last valid configuration stays in force and the file is read again at each poll.
+ * Polls the configuration file for changes, in a process that can't receive SIGHUP, the signal to reload the file.
+ * While the file is missing or invalid, the last valid configuration stays in use and the file is read again at each
+ * poll.
  *
- * <p>One thread polls, and calls the listener.
+ * <p>A single thread polls the file and calls the listener.
  */
 public final class ConfigFileWatcher {
     /**
-     * Time between two polls, in milliseconds. The old discovery address closes its connections 1.5 s after a
-     * replacement, and 4 s after it a change of the endpoint list binds the proxy: it is to be found well before either.
+     * Time between two polls, in milliseconds. When the discovery address changes, the old address closes its
+     * connections 1.5 s later, and from 4 s later on changes of the endpoint list must be applied. The proxy has to
+     * notice the new address well before either.
      */
     public static final long POLL_INTERVAL_MS = 200;
 
-    /** Is called on the thread that polls. */
+    /** Called on the thread that polls. */
     public interface Listener {
-        /** The file holds another configuration than the one in force. */
+        /** The file contains a configuration that differs from the one in use. */
         void configChanged(ProxyConfig config);
 
-        /** The file's state can't be used; called once for each state. */
+        /** The file is missing or invalid; called once for each such state of the file. */
         void configRejected(Exception reason);
     }
 
@@ -32,16 +34,16 @@
     private final Listener listener;
     private ProxyConfig current;
     private FileState lastValid = FileState.NONE;
-    /** The state that was valid at two polls: it is not read again. */
+    /** The state in which the file was valid at two polls. While it has this state, it is not read again. */
     private FileState confirmed = FileState.NONE;
 
     private FileState lastRejected = FileState.NONE;
 
     /**
-     * Creates a watcher; nothing is polled yet.
+     * Creates a watcher that does not poll yet.
      *
-     * @param current the configuration in force: whatever else the file holds is a change, also one that came between
-     *     the reading of {@code current} and the first poll
+     * @param current the configuration in use. Any other contents of the file are a change, even if they were written
+     *     between the reading of {@code current} and the first poll
      */
     public ConfigFileWatcher(Path file, ProxyConfig current, Listener listener) {
         this.file = file;
@@ -49,7 +51,7 @@
         this.listener = listener;
     }
 
-    /** Polls from now on, on a daemon thread of its own, as long as the process runs. */
+    /** Starts to poll, on a daemon thread that runs as long as the process. */
     public void start() {
         var thread = new Thread(this::run, "config-file-watcher");
         thread.setDaemon(true);
@@ -68,11 +70,11 @@
     }
 
     /**
-     * Reads the file if its state has changed. Each valid state is read at two polls: a write within one tick of the
-     * file system's clock can leave the state as it was at the first.
+     * Reads the file if its state has changed. A valid state is read at two polls, because a write within the same tick
+     * of the file system's clock can leave the state unchanged after the first read.
      */
     void poll() {
-        // Before the contents: a replacement in between then shows at the next poll.
+        // Before the contents are read: if the file is replaced in between, the next poll finds another state.
         FileState state = FileState.of(file);
         if (state.equals(confirmed)) {
             return;
@@ -103,13 +105,13 @@
     }
 
     /**
-     * What tells a replaced file from the one before.
+     * Distinguishes a file that was replaced or written from what it was before.
      *
-     * @param key the file's identity, such as its inode
-     * @param sizeBytes -1 for a state that is no file's
+     * @param key identifies the file, for example by its inode
+     * @param sizeBytes the size of the file; -1 if the state is not that of a file
      */
     private record FileState(Object key, FileTime modified, long sizeBytes) {
-        /** Equals the state of no file, nor that of a missing one. */
+        /** Differs from the state of every file, and from that of a file that is missing. */
         static final FileState NONE = noFile("none");
 
         private static final FileState UNREADABLE = noFile("unreadable");
--- a/src/main/java/gaugegw/proxy/config/InvalidConfigException.java
+++ b/src/main/java/gaugegw/proxy/config/InvalidConfigException.java
@@ -2,11 +2,14 @@
 
 import java.io.IOException;
 
-/** A configuration that no proxy can run with. The message is one line for the operators and names the field. */
+/**
+ * Thrown if a proxy can't run with a configuration. The message is a single line for operators and names the field at
+ * fault.
+ */
 public final class InvalidConfigException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Stands for the field where the complete configuration can't be read, and for what isn't known. */
+    /** Used for the field if the problem concerns the whole configuration, and for values that are not known. */
     private static final String NONE = "";
 
     private final String field;
@@ -20,58 +23,63 @@
         this.expected = expected;
     }
 
-    /** The environment does not say where the configuration is. */
+    /** The environment variable that names the configuration file is not set. */
     public static InvalidConfigException variableNotSet(String variable) {
-        return ofDocument(variable + " is not set");
+        return withoutField(
+                "the environment variable " + variable + ", which names the configuration file, is not set");
     }
 
-    /** The address in {@code listen} can't be listened on. */
+    /** The proxy can't listen on the address in {@code listen}. */
     public static InvalidConfigException cannotListen(String address, Throwable cause) {
-        return new InvalidConfigException("'listen': " + cause.getMessage(), "listen", address, NONE);
+        return new InvalidConfigException(
+                "'listen': cannot listen on " + address + ": " + cause.getMessage(), "listen", address, NONE);
     }
 
     static InvalidConfigException unreadable(IOException cause) {
-        return ofDocument("cannot be read: " + cause);
+        return withoutField("the file cannot be read: " + cause);
     }
 
     static InvalidConfigException notJson(String reason) {
-        return ofDocument("not JSON: " + reason);
+        return withoutField("the file is not valid JSON: " + reason);
     }
 
     static InvalidConfigException missing(String field) {
-        return new InvalidConfigException("'" + field + "': missing", field, NONE, NONE);
+        return new InvalidConfigException("'" + field + "': missing or empty", field, NONE, NONE);
     }
 
-    /** A text can't be read, such as an address. */
+    /** A text, such as an address, can't be parsed. */
     static InvalidConfigException malformed(String field, String found, String expected) {
-        return new InvalidConfigException("'" + field + "': '" + found + "' is no " + expected, field, found, expected);
+        return new InvalidConfigException(
+                "'" + field + "': expected " + expected + ", found '" + found + "'", field, found, expected);
     }
 
-    /** A value is of the wrong type, out of range or missing. */
-    static InvalidConfigException notAllowed(String field, String found, String expected) {
-        return new InvalidConfigException("'" + field + "': " + expected + " is wanted", field, found, expected);
+    /** A value is missing, of the wrong type or out of range. */
+    static InvalidConfigException invalidValue(String field, String found, String expected) {
+        return new InvalidConfigException("'" + field + "': expected " + expected, field, found, expected);
     }
 
-    /** A setting is missing or can't be read; the reason names it. */
+    /** A setting is missing or invalid; the reason names it. */
     static InvalidConfigException settings(IllegalArgumentException reason) {
         return new InvalidConfigException("'settings': " + reason.getMessage(), "settings", NONE, NONE);
     }
 
-    private static InvalidConfigException ofDocument(String message) {
+    private static InvalidConfigException withoutField(String message) {
         return new InvalidConfigException(message, NONE, NONE, NONE);
     }
 
-    /** Returns the path of the field, such as {@code limits.sockets}; empty where the problem is no field's. */
+    /**
+     * Returns the path of the field at fault, such as {@code limits.sockets}; empty if the problem concerns no field.
+     */
     public String field() {
         return field;
     }
 
-    /** Returns what stands in the field, as text; empty where nothing does or the message alone tells. */
+    /** Returns the value of the field as text; empty if there is none or only the message contains it. */
     public String found() {
         return found;
     }
 
-    /** Returns what is expected in the field; empty where the message alone tells. */
+    /** Returns what the field has to contain; empty if only the message says so. */
     public String expected() {
         return expected;
     }
--- a/src/main/java/gaugegw/proxy/config/JsonTrees.java
+++ b/src/main/java/gaugegw/proxy/config/JsonTrees.java
@@ -14,8 +14,9 @@
 import java.io.InputStream;
 
 /**
- * Reads JSON documents into Jackson's nodes. Jackson's {@code ObjectMapper} does the same, but first sets up date
- * formats, locales and the introspection of beans, none of which is used here and all of which would delay a start.
+ * Parses JSON documents into Jackson's tree nodes, as Jackson's {@code ObjectMapper} does. The mapper would delay the
+ * start of a process: it first sets up date formats, locales and the introspection of beans, none of which is used
+ * here.
  */
 public final class JsonTrees {
     private static final JsonFactory FACTORY = new JsonFactory();
@@ -23,16 +24,16 @@
 
     private JsonTrees() {}
 
-    /** Returns a new empty object. */
+    /** Creates an empty object. */
     public static ObjectNode object() {
         return NODES.objectNode();
     }
 
     /**
-     * Reads a document, and closes it.
+     * Parses a document and closes the stream.
      *
-     * @return the document's value, or a {@link MissingNode} where it is empty
-     * @throws com.fasterxml.jackson.core.JsonProcessingException if it is no JSON or nests too deep
+     * @return the root value of the document, or a {@link MissingNode} if it is empty
+     * @throws com.fasterxml.jackson.core.JsonProcessingException if it is not valid JSON or nested too deeply
      * @throws IOException if it can't be read
      */
     public static JsonNode read(InputStream document) throws IOException {
@@ -41,7 +42,7 @@
         }
     }
 
-    /** Reads the value that begins with the current token. The recursion is bounded by the parser's limit on nesting. */
+    /** Parses the value at the current token. The parser's limit on nesting also limits the recursion. */
     private static JsonNode value(JsonParser parser) throws IOException {
         return switch (parser.currentToken()) {
             case START_OBJECT -> object(parser);
@@ -51,7 +52,7 @@
             case VALUE_NUMBER_FLOAT -> NODES.numberNode(parser.getDoubleValue());
             case VALUE_TRUE, VALUE_FALSE -> NODES.booleanNode(parser.getBooleanValue());
             case VALUE_NULL -> NODES.nullNode();
-            default -> throw new JsonParseException(parser, "value expected");
+            default -> throw new JsonParseException(parser, "expected a value");
         };
     }
 
--- a/src/main/java/gaugegw/proxy/config/ProxyConfig.java
+++ b/src/main/java/gaugegw/proxy/config/ProxyConfig.java
@@ -11,17 +11,17 @@
 import java.nio.file.Path;
 
 /**
- * What a proxy is configured with at its start. Immutable; {@code cachedEndpoints} is not to be modified.
+ * The configuration of a proxy. Immutable; {@code cachedEndpoints} must not be modified.
  *
- * @param name the proxy's name, the same after a restart
- * @param listenAddress the address to accept clients at
+ * @param name the name of the proxy, which stays the same after a restart
+ * @param listenAddress the address on which the proxy accepts clients
  * @param discoveryAddress the address of discovery
- * @param descriptorLimit the number of file descriptors that the process may hold
- * @param cachedEndpoints the endpoint list that this proxy last received, in discovery's form; a {@link MissingNode} where
- *     there is none
- * @param settings what the load balancer is to keep to
- * @param backendIdleTimeoutUs a backend closes a connection that has been idle for this time, in microseconds
- * @param connectTimeoutUs time after which a connect to a backend has failed, in microseconds
+ * @param descriptorLimit the number of file descriptors that the process may have open
+ * @param cachedEndpoints the endpoint list that this proxy received last, in discovery's format; a {@link MissingNode}
+ *     if there is none
+ * @param settings the settings of the load balancer
+ * @param backendIdleTimeoutUs the time after which a backend closes an idle connection, in microseconds
+ * @param connectTimeoutUs the time after which an attempt to connect to a backend has failed, in microseconds
  */
 public record ProxyConfig(
         String name,
@@ -36,7 +36,7 @@
     /**
      * Reads a configuration file.
      *
-     * @throws InvalidConfigException if it can't be read, is no JSON, or no proxy can run with it
+     * @throws InvalidConfigException if the file can't be read, is not valid JSON, or a proxy can't run with it
      */
     public static ProxyConfig read(Path file) throws InvalidConfigException {
         try (InputStream json = Files.newInputStream(file)) {
@@ -49,23 +49,24 @@
     }
 
     /**
-     * Reads a configuration.
+     * Reads a configuration from JSON.
      *
-     * @throws InvalidConfigException if no proxy can run with it
+     * @throws InvalidConfigException if a proxy can't run with it
      */
     public static ProxyConfig parse(JsonNode json) throws InvalidConfigException {
         return new ProxyConfigReader(json).read();
     }
 
     /**
-     * Returns whether this is the proxy's first start, as far as can be known: it has no cached endpoint list, or one of
-     * version 0, which discovery has never changed. A restarted proxy already has clients that wait for it, so that it skips optional steps of its start.
+     * Returns whether this seems to be the first start of the proxy: it has no cached endpoint list, or one of version
+     * 0, which discovery has never changed. At a restart clients already wait for the proxy, so it skips optional steps
+     * of its start.
      */
     public boolean isFirstStart() {
         return cachedEndpoints.path("version").asLong() == 0;
     }
 
-    /** Returns the same configuration with another address to accept clients at. */
+    /** Returns a copy of this configuration with another address on which to accept clients. */
     public ProxyConfig withListenAddress(InetSocketAddress address) {
         return new ProxyConfig(
                 name,
--- a/src/main/java/gaugegw/proxy/config/ProxyConfigReader.java
+++ b/src/main/java/gaugegw/proxy/config/ProxyConfigReader.java
@@ -8,9 +8,9 @@
 import java.net.InetSocketAddress;
 import java.util.Optional;
 
-/** Reads a {@link ProxyConfig} from JSON, and maps the names of its fields to those of the code. */
+/** Reads a {@link ProxyConfig} from JSON, and maps the field names of the file to those of the code. */
 final class ProxyConfigReader {
-    /** With fewer descriptors no connections are left beside what the runtime and discovery need. */
+    /** With fewer file descriptors, the Java runtime and discovery would leave too few for connections. */
     private static final int MIN_DESCRIPTORS = 128;
 
     private static final int SEED_RADIX = 16;
@@ -50,7 +50,7 @@
         String text = text(field);
         Optional<InetSocketAddress> address = SocketAddresses.parse(text);
         if (address.isEmpty()) {
-            throw InvalidConfigException.malformed(field, text, "address and port");
+            throw InvalidConfigException.malformed(field, text, "an IP address and a port");
         }
         return address.get();
     }
@@ -58,7 +58,7 @@
     private int descriptorLimit() throws InvalidConfigException {
         JsonNode limit = json.path("limits").path("sockets");
         if (!limit.canConvertToInt() || limit.asInt() < MIN_DESCRIPTORS) {
-            throw InvalidConfigException.notAllowed(
+            throw InvalidConfigException.invalidValue(
                     "limits.sockets", limit.asText(), "a number of at least " + MIN_DESCRIPTORS);
         }
         return limit.asInt();
@@ -78,15 +78,15 @@
         try {
             return Long.parseUnsignedLong(text, SEED_RADIX);
         } catch (NumberFormatException e) {
-            throw InvalidConfigException.malformed("seed", text, "hexadecimal number of 64 bits");
+            throw InvalidConfigException.malformed("seed", text, "a hexadecimal number of at most 64 bits");
         }
     }
 
-    /** Returns the nested settings by their paths. */
+    /** Returns the nested settings under their paths, such as {@code profiles.0.name}. */
     private SettingsTree settingsTree() throws InvalidConfigException {
         JsonNode settings = json.path("settings");
         if (!settings.isObject()) {
-            throw InvalidConfigException.notAllowed("settings", settings.asText(), "an object");
+            throw InvalidConfigException.invalidValue("settings", settings.asText(), "an object");
         }
         var values = SettingsTree.builder();
         flatten("", settings, values);
--- a/src/main/java/gaugegw/proxy/config/SocketAddresses.java
+++ b/src/main/java/gaugegw/proxy/config/SocketAddresses.java
@@ -6,15 +6,15 @@
 import java.net.UnknownHostException;
 import java.util.Optional;
 
-/** Reads addresses such as {@code 10.0.0.4:8080}. */
+/** Parses addresses such as {@code 10.0.0.4:8080}. */
 public final class SocketAddresses {
     private static final int MAX_PORT = 65_535;
 
     private SocketAddresses() {}
 
     /**
-     * Reads a numeric IP address and a port, divided by the last colon. Empty for anything else, a host name too: there
-     * is no DNS, and a look-up would block the event loop.
+     * Parses a numeric IP address and a port, separated by the last colon. Returns empty for anything else, including a
+     * host name: there is no DNS, and a lookup would block the event loop.
      */
     public static Optional<InetSocketAddress> parse(String text) {
         int colon = text.lastIndexOf(':');
--- a/src/test/java/gaugegw/proxy/config/ProxyConfigTest.java
+++ b/src/test/java/gaugegw/proxy/config/ProxyConfigTest.java
@@ -45,12 +45,12 @@
     @CsvSource(
             delimiter = '|',
             value = {
-                "name|''|'name': missing",
-                "listen|'8080'|'listen': '8080' is no address and port",
-                "discovery|'host:80'|'discovery': 'host:80' is no address and port",
-                "seed|'xyz'|'seed': 'xyz' is no hexadecimal number of 64 bits",
-                "limits|''|'limits.sockets': a number of at least 128 is wanted",
-                "settings|'x'|'settings': an object is wanted"
+                "name|''|'name': missing or empty",
+                "listen|'8080'|'listen': expected an IP address and a port, found '8080'",
+                "discovery|'host:80'|'discovery': expected an IP address and a port, found 'host:80'",
+                "seed|'xyz'|'seed': expected a hexadecimal number of at most 64 bits, found 'xyz'",
+                "limits|''|'limits.sockets': expected a number of at least 128",
+                "settings|'x'|'settings': expected an object"
             })
     void namesTheInvalidField(String field, String value, String message) throws Exception {
         assertThatThrownBy(() -> ProxyConfig.parse(ProxyFixture.configTree().put(field, value)))
@@ -78,7 +78,7 @@
                 .isInstanceOfSatisfying(InvalidConfigException.class, e -> {
                     assertThat(e.field()).isEqualTo("listen");
                     assertThat(e.found()).isEqualTo("8080");
-                    assertThat(e.expected()).isEqualTo("address and port");
+                    assertThat(e.expected()).isEqualTo("an IP address and a port");
                 });
     }
 
@@ -88,10 +88,10 @@
         Path file = folder.resolve("config.json");
         assertThatThrownBy(() -> ProxyConfig.read(file))
                 .isInstanceOf(InvalidConfigException.class)
-                .hasMessageStartingWith("cannot be read");
+                .hasMessageStartingWith("the file cannot be read");
         Files.writeString(file, "{");
         assertThatThrownBy(() -> ProxyConfig.read(file))
                 .isInstanceOf(InvalidConfigException.class)
-                .hasMessageStartingWith("not JSON");
+                .hasMessageStartingWith("the file is not valid JSON");
     }
 }
