--- a/src/main/java/gaugegw/proxy/upstream/AttemptListener.java
+++ b/src/main/java/gaugegw/proxy/upstream/AttemptListener.java
@@ -2,14 +2,15 @@
 
 import gaugegw.balancer.api.AttemptOutcome;
 
-/** Receives the one end of an attempt, on the event loop. */
+/** Is notified of the outcome of an attempt, on the event loop. */
 public interface AttemptListener {
     /**
-     * Called once, when the attempt has ended.
+     * Called exactly once, when the attempt has ended.
      *
-     * @param outcome how it ended
-     * @param latencyUs time since the attempt was started, in microseconds
-     * @param response the backend's response for {@link AttemptOutcome#SUCCESS}, else null; the listener releases it
+     * @param outcome how the attempt ended
+     * @param latencyUs time from the start of the attempt to its end, in microseconds
+     * @param response the backend's response if the outcome is {@link AttemptOutcome#SUCCESS}, otherwise null; the
+     *     listener must release its body
      */
-    void ended(AttemptOutcome outcome, long latencyUs, UpstreamResponse response);
+    void attemptEnded(AttemptOutcome outcome, long latencyUs, UpstreamResponse response);
 }
--- a/src/main/java/gaugegw/proxy/upstream/LearnedIdleLimit.java
+++ b/src/main/java/gaugegw/proxy/upstream/LearnedIdleLimit.java
@@ -1,48 +1,51 @@
 package gaugegw.proxy.upstream;
 
 /**
- * Learns how long a connection may have been idle and still be used. A firewall or a backend may drop an idle
- * connection without a sign; the next request on it is then reset, and the proxy can't prove that it was not executed.
- * Where requests sent after some idle time are reset far more often than those sent after less, no connection is used
- * after such an idle time. Old observations fade, so that longer idle times are tried again. Used on the event loop
- * only.
+ * Learns from resets how long a connection to a backend may be idle and still be reused. A firewall or a backend may
+ * silently drop an idle connection. The next request on it is then reset, and the proxy can't prove that the backend
+ * did not execute that request. If requests sent after a certain idle time are reset much more often than requests sent
+ * after shorter idle times, connections that have been idle for that long, or longer, are no longer reused. The weight
+ * of past requests decays, so that longer idle times are eventually tried again. Used on the event loop only.
  */
 final class LearnedIdleLimit {
-    /** Idle times are counted in buckets; the first holds all below a millisecond. */
-    private static final int BUCKETS = 40;
-    /** Each bucket ends at about 1.4 times the idle time at which it begins. */
+    /** Number of buckets that idle times are sorted into; the last one has no upper bound. */
+    private static final int BUCKET_COUNT = 40;
+    /** The scale is logarithmic: with two buckets per doubling, each ends at about 1.4 times its start. */
     private static final double BUCKETS_PER_DOUBLING = 2;
 
-    private static final double FIRST_BUCKET_US = 1_000;
+    /** Start of the logarithmic scale, in microseconds; shorter idle times belong to the first bucket too. */
+    private static final double SCALE_START_US = 1_000;
     /**
-     * The share of resets in a bucket may be this multiple of the share after shorter idle times: less may be chance.
+     * A bucket's idle times are avoided if its reset rate exceeds {@code MAX_RESET_RATE_MULTIPLE} times the reset rate
+     * after shorter idle times plus {@link #MAX_RESET_RATE_INCREASE}. A smaller multiple may be chance.
      */
     private static final double MAX_RESET_RATE_MULTIPLE = 2;
-    /** The share of resets may be higher by this much: so few resets cost less than new connections do. */
+    /** An additional reset rate that is accepted, because so few resets cost less than opening new connections. */
     private static final double MAX_RESET_RATE_INCREASE = 0.05;
-    /** Resets in a bucket below which its share says nothing. */
+    /** With fewer resets than this in a bucket, its reset rate is not significant and is ignored. */
     private static final double MIN_RESETS = 2;
-    /** After so many requests all earlier ones count half. */
+    /** Number of recorded requests after which all counts are halved. */
     private static final int REQUESTS_PER_DECAY = 4_096;
 
-    /** Requests by the bucket of the idle time before them; fractional, as they decay. */
-    private final double[] requests = new double[BUCKETS];
-    /** How many of these were reset. */
-    private final double[] resets = new double[BUCKETS];
+    /** Number of requests by the bucket of the idle time that preceded them; fractional because of the decay. */
+    private final double[] requests = new double[BUCKET_COUNT];
+    /** Number of these requests that were reset; fractional because of the decay. */
+    private final double[] resets = new double[BUCKET_COUNT];
 
-    private int recorded;
-    /** The first bucket whose idle times are not allowed. */
-    private int limitBucket = BUCKETS;
+    private int recordedRequests;
+    /** The first bucket whose idle times are too long for reuse; {@link #BUCKET_COUNT} if there is none. */
+    private int limitBucket = BUCKET_COUNT;
 
-    /** Returns whether a connection that has been idle for so long, in microseconds, may be used. */
+    /** Returns whether a connection may be reused after it has been idle for {@code idleUs} microseconds. */
     boolean allows(long idleUs) {
         return bucket(idleUs) < limitBucket;
     }
 
     /**
-     * Records whether a request was reset before any response.
+     * Records a request and whether it was reset.
      *
-     * @param idleUs how long its connection was idle before it, in microseconds; 0 for a new connection
+     * @param idleUs how long the connection was idle before the request, in microseconds; 0 for a new connection
+     * @param wasReset whether the connection was closed or reset from the other side before any byte of a response
      */
     void record(long idleUs, boolean wasReset) {
         int bucket = bucket(idleUs);
@@ -50,8 +53,8 @@
         if (wasReset) {
             resets[bucket]++;
         }
-        recorded++;
-        boolean decays = recorded % REQUESTS_PER_DECAY == 0;
+        recordedRequests++;
+        boolean decays = recordedRequests % REQUESTS_PER_DECAY == 0;
         if (decays) {
             decay();
         }
@@ -61,16 +64,17 @@
     }
 
     private void decay() {
-        for (int i = 0; i < BUCKETS; i++) {
+        for (int i = 0; i < BUCKET_COUNT; i++) {
             requests[i] /= 2;
             resets[i] /= 2;
         }
     }
 
+    /** Returns the first bucket whose reset rate is too high, or {@link #BUCKET_COUNT} if there is none. */
     private int firstUnreliableBucket() {
         double shorterRequests = 0;
         double shorterResets = 0;
-        for (int i = 0; i < BUCKETS; i++) {
+        for (int i = 0; i < BUCKET_COUNT; i++) {
             double usualRate = shorterRequests == 0 ? 0 : shorterResets / shorterRequests;
             double maxRate = MAX_RESET_RATE_MULTIPLE * usualRate + MAX_RESET_RATE_INCREASE;
             if (i > 0 && resets[i] >= MIN_RESETS && resets[i] > requests[i] * maxRate) {
@@ -79,11 +83,11 @@
             shorterRequests += requests[i];
             shorterResets += resets[i];
         }
-        return BUCKETS;
+        return BUCKET_COUNT;
     }
 
     private static int bucket(long idleUs) {
-        double doublings = Math.log(Math.max(1, idleUs / FIRST_BUCKET_US)) / Math.log(2);
-        return (int) Math.min(BUCKETS - 1, BUCKETS_PER_DOUBLING * doublings);
+        double doublings = Math.log(Math.max(1, idleUs / SCALE_START_US)) / Math.log(2);
+        return (int) Math.min(BUCKET_COUNT - 1, BUCKETS_PER_DOUBLING * doublings);
     }
 }
--- a/src/main/java/gaugegw/proxy/upstream/ResponseClassifier.java
+++ b/src/main/java/gaugegw/proxy/upstream/ResponseClassifier.java
@@ -6,14 +6,15 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpStatusClass;
 
-/** Says what a response means for its attempt, from its head alone. Stateless. */
+/** Determines the outcome of an attempt from the status line and headers of the response. Stateless. */
 final class ResponseClassifier {
     private static final String NOT_PROCESSED = "1";
 
     private ResponseClassifier() {}
 
     /**
-     * Returns whether a response is final; an interim one (1xx, but for a switch of protocols) is followed by another.
+     * Returns whether a response is final. An interim response (1xx except 101 Switching Protocols) is followed by
+     * another response to the same request.
      */
     static boolean isFinal(HttpResponse response) {
         return response.status().codeClass() != HttpStatusClass.INFORMATIONAL
@@ -21,14 +22,19 @@
     }
 
     /**
-     * Returns whether a response can be read completely and answers the request: one that was begun before the last
-     * byte of the request was written does not.
+     * Returns whether a response was decoded without an error and can be the response to the request, which it cannot
+     * be if it was received before the last byte of the request had been written.
      */
     static boolean isValid(HttpResponse response, boolean requestWritten) {
         return response.decoderResult().isSuccess() && requestWritten;
     }
 
-    /** Returns the outcome of the attempt that a response ends; a rejection proves that nothing was executed. */
+    /**
+     * Returns the outcome of the attempt that received a response. {@link AttemptOutcome#REJECTED} proves that the
+     * backend did not execute the request, so it is returned only if the backend says so.
+     *
+     * @param valid the result of {@link #isValid}
+     */
     static AttemptOutcome classify(HttpResponse response, boolean valid) {
         if (!valid) {
             return AttemptOutcome.ERROR;
--- a/src/main/java/gaugegw/proxy/upstream/StallDetector.java
+++ b/src/main/java/gaugegw/proxy/upstream/StallDetector.java
@@ -5,29 +5,29 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Detects a response that has begun and does not go on. Backends write a response in one go: one that stops half-way
- * has a wrong length or no end, and without this check its attempt would end only with its timeout, too late for a
- * retry. Used on the event loop only.
+ * Detects a response that stops arriving before it is complete. Backends write a response in one go, so a response that
+ * stops has a wrong length or lacks its end. Without this check the attempt would end only at its timeout, too late for
+ * a retry. Used on the event loop only.
  */
 final class StallDetector {
-    /** A response is stalled if nothing of it is received for so long. */
-    private static final long STALL_MS = 100;
+    /** A response is considered stalled if no byte of it is received for this long, in milliseconds. */
+    private static final long STALL_TIMEOUT_MS = 100;
 
-    /** The connection that is watched. */
+    /** The connection whose response is watched. */
     interface Connection {
-        /** Returns whether an attempt still waits for its response. */
-        boolean awaitsResponse();
+        /** Returns whether an attempt on this connection is still waiting for its response. */
+        boolean isAwaitingResponse();
 
-        /** Returns the number of bytes received of the response so far. */
+        /** Returns the number of bytes of the response that have been received so far. */
         long receivedBytes();
 
-        /** Called once the response has stalled. */
+        /** Called when the response has stalled. */
         void responseStalled();
     }
 
     private final EventLoop loop;
     private final Connection connection;
-    /** Null while nothing is watched. */
+    /** The timer of the next check; null while no response is being watched. */
     private Future<?> timer;
 
     StallDetector(EventLoop loop, Connection connection) {
@@ -35,14 +35,14 @@
         this.connection = connection;
     }
 
-    /** Starts watching, unless it has started before. */
+    /** Starts watching the response; does nothing if it is already being watched. */
     void start() {
         if (timer == null) {
             schedule();
         }
     }
 
-    /** Stops watching; has no effect if nothing is watched. */
+    /** Stops watching the response; does nothing if none is being watched. */
     void stop() {
         if (timer != null) {
             timer.cancel(false);
@@ -52,12 +52,12 @@
 
     private void schedule() {
         long bytesBefore = connection.receivedBytes();
-        timer = loop.schedule(() -> check(bytesBefore), STALL_MS, TimeUnit.MILLISECONDS);
+        timer = loop.schedule(() -> check(bytesBefore), STALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     private void check(long bytesBefore) {
         timer = null;
-        if (!connection.awaitsResponse()) {
+        if (!connection.isAwaitingResponse()) {
             return;
         }
         if (connection.receivedBytes() == bytesBefore) {
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamAttempt.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamAttempt.java
@@ -15,20 +15,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One attempt to have a request served by one backend, from the acquisition of a connection to its outcome. It is
- * started once, ends once and reports its end to its {@link AttemptListener}. Used on the event loop only.
+ * One attempt to have a request served by one backend, from acquiring a connection to the outcome. It is started once,
+ * ends once, and then reports its outcome to its {@link AttemptListener}. Used on the event loop only.
  */
 public final class UpstreamAttempt {
     private enum State {
-        /** Not started yet. */
+        /** The attempt has not been started. */
         CREATED,
-        /** Waits for a connection: no byte of the request has been written. */
+        /** Waiting for a connection; no byte of the request has been written. */
         CONNECTING,
-        /** The request is being written; its last byte has not been written yet. */
+        /** Writing the request; its last byte has not been written. */
         WRITING,
-        /** The complete request has been written: from here on the backend may have executed it. */
+        /** The complete request has been written, so the backend may have executed it. */
         AWAITING_RESPONSE,
-        /** The outcome has been reported. */
+        /** The outcome is known and is reported to the listener; nothing that happens later changes it. */
         ENDED
     }
 
@@ -40,14 +40,17 @@
     private final Runnable beforeWrite;
     private final AttemptListener listener;
     private State state = State.CREATED;
-    /** Outlives the state: a response may still be decoded as the connection of an ended attempt is closed. */
-    private boolean written;
+    /**
+     * Whether the complete request has been written. Kept apart from the state because it is still needed after the
+     * attempt has ended: the decoder may deliver a response while the connection is being closed.
+     */
+    private boolean requestWritten;
 
     private long startedAtUs;
     private Future<?> timeoutTimer;
-    /** The connection that is being opened for this attempt; null for a pooled one. */
+    /** The connect in progress for this attempt; null if there is none, as with a pooled connection. */
     private ChannelFuture connecting;
-    /** Null until the attempt has its connection. */
+    /** The connection of this attempt; null until it has been acquired. */
     private Channel channel;
 
     UpstreamAttempt(
@@ -66,7 +69,7 @@
         this.listener = listener;
     }
 
-    /** Starts the timeout and acquires a connection; the listener may be called before this returns. */
+    /** Starts the timeout and acquires a connection. The listener may be called before this method returns. */
     public void start() {
         assert loop.inEventLoop();
         state = State.CONNECTING;
@@ -75,17 +78,18 @@
         timeoutTimer = loop.schedule(this::timeOut, timeoutUs, TimeUnit.MICROSECONDS);
         Promise<Channel> acquired = loop.newPromise();
         connecting = endpoint.pool().acquireOrConnect(acquired);
-        acquired.addListener((Future<Channel> f) -> connected(f));
+        acquired.addListener((Future<Channel> f) -> acquireCompleted(f));
     }
 
-    /** Returns whether the last byte of the request has been written: only then may the backend have executed it. */
+    /** Returns whether the last byte of the request has been written. Until then the backend can't have executed it. */
     public boolean isRequestWritten() {
-        return written;
+        return requestWritten;
     }
 
     /**
-     * Ends the attempt from this side; does nothing once it has ended. The connection is closed before the listener is
-     * called: otherwise a retry that the listener starts would be in flight beside this attempt.
+     * Ends the attempt with an outcome that the proxy decides; does nothing if the attempt has already ended. Closes
+     * the connection before it calls the listener: otherwise a retry that the listener starts would be in flight at the
+     * same time as this attempt.
      */
     public void abort(AttemptOutcome outcome) {
         assert loop.inEventLoop();
@@ -106,9 +110,9 @@
     }
 
     /**
-     * Ends the attempt with an outcome that the connection has brought; does nothing once it has ended.
+     * Ends the attempt with an outcome that results from its connection; does nothing if the attempt has already ended.
      *
-     * @param response passed to the listener, which releases it; null unless the outcome is a success
+     * @param response passed to the listener, which releases its body; null unless the outcome is a success
      */
     void complete(AttemptOutcome outcome, UpstreamResponse response) {
         if (!isEnded()) {
@@ -117,12 +121,15 @@
         }
     }
 
-    /** Before its last byte is written a request has certainly not been executed; after that it may have been. */
+    /**
+     * Ends the attempt at its timeout. If the request was not written completely, the outcome is one that proves that
+     * it was not executed; otherwise it may have been.
+     */
     private void timeOut() {
-        abort(written ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED);
+        abort(requestWritten ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED);
     }
 
-    private void connected(Future<Channel> acquired) {
+    private void acquireCompleted(Future<Channel> acquired) {
         connecting = null;
         if (acquired.isSuccess() && !isEnded()) {
             beforeWrite.run();
@@ -138,7 +145,10 @@
         }
     }
 
-    /** A request that can't be encoded has not been sent; the failure must not reach the other attempts of the loop. */
+    /**
+     * Writes the request. If that throws an exception, the request was not sent; the exception must not propagate, as
+     * that would affect other attempts on the event loop.
+     */
     private void writeOrAbort() {
         try {
             write();
@@ -158,13 +168,13 @@
         if (!request.method().equals(HttpMethod.GET) || message.content().isReadable()) {
             HttpUtil.setContentLength(message, message.content().readableBytes());
         }
-        channel.pipeline().get(UpstreamConnectionHandler.class).begin(this);
+        channel.pipeline().get(UpstreamConnectionHandler.class).assignAttempt(this);
         channel.writeAndFlush(message).addListener(this::writeCompleted);
     }
 
     private void writeCompleted(Future<?> write) {
-        written = write.isSuccess();
-        if (!written) {
+        requestWritten = write.isSuccess();
+        if (!requestWritten) {
             abort(AttemptOutcome.CONNECT_FAILED);
         } else if (state == State.WRITING) {
             state = State.AWAITING_RESPONSE;
@@ -174,6 +184,6 @@
     private void report(AttemptOutcome outcome, UpstreamResponse response) {
         timeoutTimer.cancel(false);
         endpoint.attemptEnded(this);
-        listener.ended(outcome, clock.nowUs() - startedAtUs, response);
+        listener.attemptEnded(outcome, clock.nowUs() - startedAtUs, response);
     }
 }
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
@@ -17,25 +17,25 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Sends attempts to the backends that discovery lists, over pooled connections that carry one attempt at a time. It
- * never retries: each attempt is one that the caller has started. All methods are called on the event loop.
+ * Sends attempts to the backends that discovery lists, over pooled connections that carry one attempt at a time. Never
+ * retries on its own: the caller creates and starts each attempt. All methods are called on the event loop.
  */
 public final class UpstreamClient {
     /**
-     * The part of a backend's idle time-out after which this side closes a connection. Well below all of it, as a request
-     * that crosses the backend's close is reset and may have been executed.
+     * The proxy closes a connection that has been idle for this percentage of the backend's idle timeout. It must do so
+     * well before the backend does: a request that crosses the backend's close is reset and may have been executed.
      */
     private static final int IDLE_TIMEOUT_PERCENT = 60;
 
     private final UpstreamContext context;
-    /** By endpoint id. An endpoint that is no longer ready stays until its attempts have ended. */
+    /** The endpoints by id. An endpoint that is no longer ready is kept at least until its attempts have ended. */
     private final Map<String, UpstreamEndpoint> endpoints = new HashMap<>();
 
     /**
      * Creates a client without endpoints.
      *
      * @param backendIdleTimeoutUs the idle time after which a backend may close a connection, in microseconds
-     * @param connectTimeoutUs the longest time that a connect may take, in microseconds
+     * @param connectTimeoutUs the maximum duration of a connect, in microseconds
      */
     public UpstreamClient(
             Clock clock,
@@ -50,33 +50,38 @@
         context = new UpstreamContext(clock, transport, limiter, bootstrap, idleTimeoutUs, new LearnedIdleLimit());
     }
 
-    /** Returns whether at least one endpoint takes new attempts. */
+    /** Returns whether at least one endpoint accepts new attempts. */
     public boolean hasReadyEndpoint() {
         return endpoints.values().stream().anyMatch(UpstreamEndpoint::isReady);
     }
 
     /**
-     * Applies an update of the endpoint list. Idle connections to endpoints that are no longer ready are closed.
+     * Applies an update of the endpoint list and closes the idle connections to endpoints that are no longer ready.
      *
-     * @param kind what the entries are; never {@link UpdateKind#POLL_FAILED}, whose empty list would remove all endpoints
-     * @return the attempts of such endpoints whose request has not been written completely. The caller aborts them, or
-     *     they would begin at a backend that is to complete its work only
+     * @param kind whether the list is complete or holds only changes; must not be {@link UpdateKind#POLL_FAILED}, whose
+     *     empty list would remove all endpoints
+     * @return the attempts on endpoints that are no longer ready, or have another address now, whose request has not
+     *     been written completely. The caller must abort them: a draining backend only completes the requests that it
+     *     has already received
      */
     public List<UpstreamAttempt> applyUpdate(UpdateKind kind, List<ListedEndpoint> listed) {
         assert context.loop().inEventLoop();
         var unwritten = new ArrayList<UpstreamAttempt>();
         for (ListedEndpoint entry : listed) {
-            endpointAt(entry, unwritten).setReady(entry.endpoint().state() == EndpointState.READY);
+            endpointFor(entry, unwritten).setReady(entry.endpoint().state() == EndpointState.READY);
         }
         if (kind != UpdateKind.DELTA) {
-            retainListed(listed);
+            markUnlistedNotReady(listed);
         }
-        removeUnready(unwritten);
+        removeNotReady(unwritten);
         return unwritten;
     }
 
-    /** Returns the endpoint of an entry; one whose address has changed is replaced and takes no new attempts. */
-    private UpstreamEndpoint endpointAt(ListedEndpoint entry, List<UpstreamAttempt> unwritten) {
+    /**
+     * Returns the endpoint for an entry of the list and creates it if it is new. If its address has changed, a new
+     * endpoint replaces the old one, which accepts no new attempts.
+     */
+    private UpstreamEndpoint endpointFor(ListedEndpoint entry, List<UpstreamAttempt> unwritten) {
         String id = entry.endpoint().id();
         UpstreamEndpoint known = endpoints.get(id);
         if (known != null && known.address().equals(entry.address())) {
@@ -92,8 +97,8 @@
         return added;
     }
 
-    /** A complete list names all endpoints that there are: the others take no new attempts. */
-    private void retainListed(List<ListedEndpoint> listed) {
+    /** Marks the endpoints that a complete list doesn't contain as not ready: they no longer exist. */
+    private void markUnlistedNotReady(List<ListedEndpoint> listed) {
         Set<String> listedIds = new HashSet<>();
         listed.forEach(entry -> listedIds.add(entry.endpoint().id()));
         endpoints.forEach((id, endpoint) -> {
@@ -103,7 +108,8 @@
         });
     }
 
-    private void removeUnready(List<UpstreamAttempt> unwritten) {
+    /** Closes the idle connections of endpoints that are not ready, and removes those without attempts in flight. */
+    private void removeNotReady(List<UpstreamAttempt> unwritten) {
         endpoints.values().removeIf(endpoint -> {
             if (endpoint.isReady()) {
                 return false;
@@ -114,7 +120,7 @@
         });
     }
 
-    /** Closes the idle connections to an endpoint; does nothing if there is no such endpoint. */
+    /** Closes the idle connections to an endpoint; does nothing if the endpoint is unknown. */
     public void closeIdleConnections(String endpointId) {
         assert context.loop().inEventLoop();
         UpstreamEndpoint endpoint = endpoints.get(endpointId);
@@ -124,13 +130,14 @@
     }
 
     /**
-     * Creates an attempt, which the caller starts in the same turn of the event loop.
+     * Creates an attempt. The caller must start it in the same task of the event loop, as a connection may have been
+     * reserved for it.
      *
-     * @param timeoutUs the time that the attempt may take from its start to its response, in microseconds
-     * @param beforeWrite runs once the attempt has its connection, right before the request is written; it may abort
-     *     the attempt
+     * @param timeoutUs the maximum time from the start of the attempt to its response, in microseconds
+     * @param beforeWrite called when the attempt has acquired its connection, immediately before the request is
+     *     written; may abort the attempt
      * @param listener called once, when the attempt has ended
-     * @return the attempt; null if the endpoint takes none or no connection may be opened to it
+     * @return the attempt, or null if the endpoint is unknown or not ready, or if no connection to it may be opened
      */
     public UpstreamAttempt newAttempt(
             String endpointId,
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamConnectionHandler.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamConnectionHandler.java
@@ -12,31 +12,34 @@
 import io.netty.handler.timeout.IdleStateEvent;
 
 /**
- * The last handler of a connection to a backend: gives the attempt that the connection carries its outcome, and the
- * connection back to its pool. A response is acted on only once all received bytes are read, as bytes behind it show
- * that the connection can't be used again. Used on the event loop only.
+ * The last handler in the pipeline of a connection to a backend. Determines the outcome of the attempt that the
+ * connection carries and returns the connection to its pool. A response is processed only after all received bytes have
+ * been read, because bytes after the response show that the connection must not be reused. Used on the event loop only.
  */
 final class UpstreamConnectionHandler extends SimpleChannelInboundHandler<FullHttpResponse>
         implements StallDetector.Connection {
-    /** A response with its headers, its chunk framing and the interim responses before it is never longer, in bytes. */
+    /** Maximum size of a response in bytes, with its headers, its chunk framing and the interim responses before it. */
     private static final long MAX_RESPONSE_BYTES = 2 * HttpLimits.MAX_BODY_BYTES;
-    /** A second response that a faulty backend writes behind the first has been received by then, in microseconds. */
-    private static final long SETTLE_US = 10_000;
+    /**
+     * Minimum time between a response and the reuse of its connection, in microseconds. If a faulty backend writes a
+     * second response directly after the first, it has been received by then.
+     */
+    private static final long REUSE_DELAY_US = 10_000;
 
     private final UpstreamContext context;
     private final UpstreamEndpoint endpoint;
     private final Channel channel;
     private final StrictResponseDecoder decoder;
     private final StallDetector stallDetector;
-    /** The attempt that waits for a response here; null while the connection is idle. */
+    /** The attempt that is waiting for a response on this connection; null while there is none. */
     private UpstreamAttempt attempt;
-    /** The attempt's response until the end of the read; released here unless the attempt is given it. */
+    /** The attempt's response, from when it is decoded to the end of the read; null otherwise. */
     private FullHttpResponse response;
-    /** Whether a response was received that no attempt waits for. */
+    /** Whether a response was received that no attempt was waiting for. */
     private boolean receivedUnexpectedResponse;
-    /** On the proxy's clock, in microseconds; 0 until the connection has carried an attempt. */
+    /** When the connection became idle, on the proxy's clock in microseconds; 0 before its first attempt has ended. */
     private long idleSinceUs;
-    /** How long the connection was idle before the current attempt, in microseconds; 0 if it is new. */
+    /** How long the connection was idle before the current attempt, in microseconds; 0 if it was new. */
     private long idleBeforeAttemptUs;
 
     UpstreamConnectionHandler(
@@ -56,13 +59,14 @@
         channel.close();
     }
 
-    /** Takes the attempt whose request is written next. */
-    void begin(UpstreamAttempt next) {
+    /** Sets the attempt whose request is about to be written on this connection. */
+    void assignAttempt(UpstreamAttempt next) {
         attempt = next;
         idleBeforeAttemptUs = idleSinceUs == 0 ? 0 : context.clock().nowUs() - idleSinceUs;
         decoder.resetReceivedBytes();
     }
 
+    /** Records that the connection is idle from now on. */
     void markIdle() {
         idleSinceUs = context.clock().nowUs();
     }
@@ -71,9 +75,9 @@
         return idleSinceUs;
     }
 
-    /** Returns whether anything that followed the last response would have been received by now. */
-    boolean hasSettled(long nowUs) {
-        return nowUs - idleSinceUs >= SETTLE_US;
+    /** Returns whether the last response is long enough ago for the connection to be reused. */
+    boolean hasReuseDelayPassed(long nowUs) {
+        return nowUs - idleSinceUs >= REUSE_DELAY_US;
     }
 
     @Override
@@ -99,13 +103,17 @@
         super.channelReadComplete(ctx);
     }
 
-    /** Bytes that come while no attempt waits would be taken for the response of the next attempt. */
+    /**
+     * Closes the connection if bytes have been received while no attempt is waiting: they would be taken for the
+     * response to the next attempt.
+     */
     private void closeIfUnexpectedBytes(ChannelHandlerContext ctx) {
         if (decoder.receivedBytes() > 0) {
             ctx.close();
         }
     }
 
+    /** Ends the attempt with the outcome that its response stands for, and pools or closes the connection. */
     private void completeAttempt() {
         FullHttpResponse received = response;
         UpstreamAttempt completed = attempt;
@@ -116,7 +124,7 @@
         boolean valid = ResponseClassifier.isValid(received, completed.isRequestWritten());
         boolean reusable = valid && !receivedUnexpectedResponse && !decoder.hasUndecodedBytes();
         decoder.resetReceivedBytes();
-        // Before the listener is called: a retry that it starts may find no capacity for another connection.
+        // Before calling the listener: if it starts a retry, the limit may not allow another connection for that.
         releaseOrClose(reusable && HttpUtil.isKeepAlive(received));
         AttemptOutcome outcome = ResponseClassifier.classify(received, valid);
         if (outcome == AttemptOutcome.SUCCESS) {
@@ -136,7 +144,7 @@
     }
 
     @Override
-    public boolean awaitsResponse() {
+    public boolean isAwaitingResponse() {
         return attempt != null;
     }
 
@@ -150,7 +158,10 @@
         failInvalidResponse();
     }
 
-    /** A response has begun, so that the request may have been executed; but no valid response will follow. */
+    /**
+     * Closes the connection and ends the attempt with an error, as its response is invalid or incomplete. The backend
+     * has begun to respond, so it may have executed the request.
+     */
     private void failInvalidResponse() {
         UpstreamAttempt failed = attempt;
         attempt = null;
@@ -172,14 +183,14 @@
         super.channelInactive(ctx);
     }
 
-    /** No response is received over this connection any more. */
+    /** Ends the attempt because its connection is closed or broken and can't receive a response any more. */
     private void failBrokenConnection() {
         if (attempt == null) {
             return;
         }
         UpstreamAttempt failed = attempt;
         attempt = null;
-        // A connection that this side has closed says nothing about resets by the backend.
+        // If the attempt has already ended, the proxy closed the connection, and that is no reset by the backend.
         if (!failed.isEnded()) {
             context.idleLimit().record(idleBeforeAttemptUs, decoder.receivedBytes() == 0);
         }
@@ -201,8 +212,8 @@
             return;
         }
         ctx.close();
-        // At once: the decoder takes any close for the end of a response without a length, and the attempt that was
-        // reset would be served a response that is cut short.
+        // Fail the attempt now, not when the channel becomes inactive: when the connection closes, the decoder takes a
+        // response without a length for complete, and the client would get a truncated response after a reset.
         failBrokenConnection();
     }
 }
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamConnectionPool.java
@@ -17,18 +17,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The connections to one endpoint. Netty's pool leaves the choice of the idle connection to its subclass: here it is
- * the one that was used last, so that the others reach the idle timeout and are closed. A connection is used only if it
- * has settled after its last response and has received nothing since: unexpected bytes would be taken for the response
- * of the next attempt. Used on the event loop only.
+ * The pool of connections to one endpoint. It reuses the idle connection that was used most recently, so that the
+ * others reach the idle timeout and are closed. A connection is reused only if some time has passed since its last
+ * response and it has received nothing in that time: unexpected bytes would be taken for the response to the next
+ * attempt. Used on the event loop only.
  */
 final class UpstreamConnectionPool extends SimpleChannelPool {
     private final UpstreamContext context;
-    /** In the order in which they became idle. */
+    /** The idle connections, in the order in which they became idle. */
     private final Deque<UpstreamConnectionHandler> idle = new ArrayDeque<>();
-    /** The idle connection that the next acquisition takes; null if none is reserved. */
+    /** The idle connection that the next acquisition gets; null if none is reserved. */
     private UpstreamConnectionHandler reserved;
-    /** The connection that the current acquisition opens; null if it takes an idle one. */
+    /** The connect that the current acquisition has started; null if it gets an idle connection. */
     private ChannelFuture connecting;
 
     UpstreamConnectionPool(UpstreamContext context, UpstreamEndpoint endpoint) {
@@ -41,29 +41,29 @@
     }
 
     /**
-     * Reserves an idle connection for an attempt that starts in this turn of the event loop; closes the connections
-     * that have been idle for too long.
+     * Reserves an idle connection for an attempt that is started in the current task of the event loop, and closes the
+     * connections that have been idle for too long to be reused.
      *
-     * @return whether there is one; if not, the attempt opens a connection
+     * @return whether a connection was reserved; if not, the attempt needs a new connection
      */
     boolean reserveIdle() {
         long nowUs = context.clock().nowUs();
-        while (!idle.isEmpty() && idleForTooLong(idle.getFirst(), nowUs)) {
+        while (!idle.isEmpty() && exceedsIdleLimit(idle.getFirst(), nowUs)) {
             idle.removeFirst().close();
         }
-        reserved = firstUsable(nowUs);
+        reserved = latestUsable(nowUs);
         return reserved != null;
     }
 
-    private boolean idleForTooLong(UpstreamConnectionHandler connection, long nowUs) {
+    private boolean exceedsIdleLimit(UpstreamConnectionHandler connection, long nowUs) {
         return !context.idleLimit().allows(nowUs - connection.idleSinceUs());
     }
 
     /**
-     * Acquires a connection.
+     * Acquires the reserved connection, another idle connection or a new one.
      *
-     * @param acquired completed with the connection, possibly before this returns
-     * @return the connect that was begun for it; null if an idle connection was taken
+     * @param acquired completed with the connection, possibly before this method returns
+     * @return the connect in progress, or null if an idle connection was acquired
      */
     ChannelFuture acquireOrConnect(Promise<Channel> acquired) {
         connecting = null;
@@ -80,7 +80,7 @@
     @Override
     protected Channel pollChannel() {
         UpstreamConnectionHandler connection =
-                reserved != null ? reserved : firstUsable(context.clock().nowUs());
+                reserved != null ? reserved : latestUsable(context.clock().nowUs());
         reserved = null;
         if (connection == null) {
             return null;
@@ -90,15 +90,18 @@
         return connection.channel();
     }
 
-    /** Returns the settled connection that was used last, or null; closes those that have received something. */
-    private UpstreamConnectionHandler firstUsable(long nowUs) {
+    /**
+     * Returns the reusable connection that became idle last, or null if there is none. Closes connections on the way
+     * that have received something while idle.
+     */
+    private UpstreamConnectionHandler latestUsable(long nowUs) {
         Iterator<UpstreamConnectionHandler> latestFirst = idle.descendingIterator();
         while (latestFirst.hasNext()) {
             UpstreamConnectionHandler connection = latestFirst.next();
-            if (!connection.hasSettled(nowUs)) {
+            if (!connection.hasReuseDelayPassed(nowUs)) {
                 continue;
             }
-            // After a pause of the event loop bytes may have been received that its handlers have not seen yet.
+            // If the event loop was delayed, the socket may hold bytes that the handlers have not received yet.
             if (context.transport().hasNothingToRead(connection.channel())) {
                 return connection;
             }
@@ -117,7 +120,7 @@
         return true;
     }
 
-    /** Forgets a connection that was closed, so that no attempt is given it. */
+    /** Removes a closed connection, so that no attempt acquires it. */
     void connectionClosed(UpstreamConnectionHandler connection) {
         idle.remove(connection);
         if (reserved == connection) {
@@ -128,13 +131,13 @@
     /** Closes all idle connections. */
     void closeIdle() {
         reserved = null;
-        // Each is removed first: its close may call back into the pool.
+        // Remove each connection before closing it, as the close may call connectionClosed().
         for (UpstreamConnectionHandler last = idle.pollLast(); last != null; last = idle.pollLast()) {
             last.close();
         }
     }
 
-    /** Sets up the pipeline of a new connection; the order of its handlers is described in the package comment. */
+    /** Sets up the pipeline of a new connection; the package documentation describes the order of the handlers. */
     private static final class ConnectionInitializer extends AbstractChannelPoolHandler {
         private final UpstreamContext context;
         private final UpstreamEndpoint endpoint;
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamContext.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamContext.java
@@ -7,14 +7,15 @@
 import io.netty.channel.EventLoop;
 
 /**
- * What all endpoints, connections and attempts of an {@link UpstreamClient} share. Used on the event loop only.
+ * The dependencies and settings that all endpoints, connections and attempts of an {@link UpstreamClient} share. Used
+ * on the event loop only.
  *
  * @param clock the proxy's clock, in microseconds
- * @param transport makes and inspects the connections
- * @param limiter counts the connections and evicts idle ones
- * @param bootstrap a template with the connect timeout set, to be cloned for each endpoint
- * @param idleTimeoutUs how long a connection may be idle before this side closes it, in microseconds
- * @param idleLimit the idle time, learned from resets, after which a connection is no longer used
+ * @param transport provides the event loop and shows whether an idle connection has received anything
+ * @param limiter limits the number of open connections and closes idle ones
+ * @param bootstrap template for connections, with the connect timeout set; cloned for each endpoint
+ * @param idleTimeoutUs how long a connection may be idle before the proxy closes it, in microseconds
+ * @param idleLimit the idle time, learned from resets, above which a connection is not reused
  */
 record UpstreamContext(
         Clock clock,
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamEndpoint.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamEndpoint.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Set;
 
-/** One backend at one address: its connections and the attempts in flight to it. Used on the event loop only. */
+/** A backend at one address, with its connection pool and its attempts in flight. Used on the event loop only. */
 final class UpstreamEndpoint {
     private final InetSocketAddress address;
     private final UpstreamConnectionPool pool;
-    /** Started and not ended, in the order of their start. */
+    /** The attempts that have been started and have not ended, in the order in which they were started. */
     private final Set<UpstreamAttempt> attemptsInFlight = new LinkedHashSet<>();
 
     private boolean ready;
@@ -27,7 +27,7 @@
         return pool;
     }
 
-    /** Returns whether the endpoint takes new attempts, and whether its connections are kept after a response. */
+    /** Returns whether the endpoint accepts new attempts; if not, its connections are closed after their response. */
     boolean isReady() {
         return ready;
     }
@@ -48,7 +48,7 @@
         return !attemptsInFlight.isEmpty();
     }
 
-    /** Returns a copy of the attempts in flight whose request has not been written completely, in their order. */
+    /** Returns a copy of the attempts in flight whose request has not been written completely, oldest first. */
     List<UpstreamAttempt> unwrittenAttempts() {
         return attemptsInFlight.stream().filter(a -> !a.isRequestWritten()).toList();
     }
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamRequest.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamRequest.java
@@ -5,11 +5,11 @@
 import io.netty.handler.codec.http.HttpMethod;
 
 /**
- * The request that goes to a backend; it is the same for each attempt, except for the remaining time-out.
+ * A request as it is sent to a backend. Each attempt sends the same request, except for the remaining timeout.
  *
  * @param method the client's method, unchanged
  * @param uri the client's path and query, unchanged
- * @param headers the client's headers; hop-by-hop headers are left out when the request is written
- * @param body the client's body, owned by the client's side: an attempt writes a retained duplicate
+ * @param headers the client's headers; hop-by-hop headers are removed when the request is written
+ * @param body the client's body; the caller releases it, and each attempt writes a retained duplicate
  */
 public record UpstreamRequest(HttpMethod method, String uri, HttpHeaders headers, ByteBuf body) {}
--- a/src/main/java/gaugegw/proxy/upstream/package-info.java
+++ b/src/main/java/gaugegw/proxy/upstream/package-info.java
@@ -1,21 +1,20 @@
 /**
- * The connections to the backends and the attempts that are sent over them.
+ * Connections to the backends, and the attempts that use them.
  *
  * <p>{@link gaugegw.proxy.upstream.UpstreamClient} holds one {@link gaugegw.proxy.upstream.UpstreamEndpoint} for each
- * listed backend; an endpoint owns its {@link gaugegw.proxy.upstream.UpstreamConnectionPool} and the set of its
+ * listed backend. An endpoint owns its {@link gaugegw.proxy.upstream.UpstreamConnectionPool} and the set of its
  * attempts in flight. An {@link gaugegw.proxy.upstream.UpstreamAttempt} acquires a connection, writes one request and
- * reports one outcome to its {@link gaugegw.proxy.upstream.AttemptListener}; it is never retried here.
+ * reports one outcome to its {@link gaugegw.proxy.upstream.AttemptListener}. This package never retries an attempt.
  *
- * <p>The pipeline of a connection, from the socket: {@code HttpRequestEncoder}, {@link
+ * <p>The handlers in the pipeline of a connection, starting at the socket: {@code HttpRequestEncoder}, {@link
  * gaugegw.proxy.http.StrictResponseDecoder}, {@code HttpObjectAggregator}, {@code IdleStateHandler}, {@link
- * gaugegw.proxy.upstream.UpstreamConnectionHandler}. A connection carries one attempt at a time: while it does, the
- * handler owns the attempt's response; otherwise it is in its pool.
+ * gaugegw.proxy.upstream.UpstreamConnectionHandler}. A connection carries at most one attempt at a time. While it
+ * carries one, the handler owns the response that is being received; while it carries none, it is in the pool.
  *
- * <p>Buffers: the body of an {@link gaugegw.proxy.upstream.UpstreamRequest} belongs to the caller, and an attempt
- * writes a retained duplicate, which the encoder releases. The body of an {@link
- * gaugegw.proxy.upstream.UpstreamResponse} belongs to the listener that is given it; other responses are released by
- * the connection's handler.
+ * <p>Buffers: the caller owns the body of an {@link gaugegw.proxy.upstream.UpstreamRequest}; an attempt writes a
+ * retained duplicate, which the encoder releases. The listener that receives an {@link
+ * gaugegw.proxy.upstream.UpstreamResponse} owns its body; the connection's handler releases all other responses.
  *
- * <p>Threading: everything here runs on the proxy's event loop and nothing is synchronized.
+ * <p>Threading: everything in this package runs on the proxy's event loop, without synchronization.
  */
 package gaugegw.proxy.upstream;
