--- a/src/main/java/gaugegw/proxy/http/StrictRequestDecoder.java
+++ b/src/main/java/gaugegw/proxy/http/StrictRequestDecoder.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import io.netty.util.AsciiString;
 
-/** Decodes the requests of clients; ambiguous framing is a decoder failure, see {@link FramingChecks}. */
+/** Decodes the requests of clients. Decoding fails if the framing is ambiguous; see {@link FramingChecks}. */
 public final class StrictRequestDecoder extends HttpRequestDecoder {
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
--- a/src/main/java/gaugegw/proxy/http/StrictResponseDecoder.java
+++ b/src/main/java/gaugegw/proxy/http/StrictResponseDecoder.java
@@ -7,8 +7,8 @@
 import io.netty.util.AsciiString;
 
 /**
- * Decodes the responses of a backend and counts the received bytes; ambiguous framing is a decoder failure, see {@link
- * FramingChecks}. Used on the event loop only.
+ * Decodes the responses of a backend and counts the received bytes. Decoding fails if the framing is ambiguous; see
+ * {@link FramingChecks}. Used on the event loop only.
  */
 public final class StrictResponseDecoder extends HttpResponseDecoder {
     private long receivedBytes;
@@ -21,17 +21,17 @@
         super.channelRead(ctx, message);
     }
 
-    /** Returns the number of bytes received since the last reset, decoded or not. */
+    /** Returns the number of bytes received since the last call of {@link #resetReceivedBytes}, decoded or not. */
     public long receivedBytes() {
         return receivedBytes;
     }
 
-    /** Sets the number of received bytes to zero. */
+    /** Resets the number of received bytes to zero. */
     public void resetReceivedBytes() {
         receivedBytes = 0;
     }
 
-    /** Returns whether bytes were received that have not been decoded as part of a message. */
+    /** Returns whether there are received bytes that have not been decoded yet. */
     public boolean hasUndecodedBytes() {
         return actualReadableBytes() > 0;
     }
--- a/src/main/java/gaugegw/proxy/logging/RateLimitedLog.java
+++ b/src/main/java/gaugegw/proxy/logging/RateLimitedLog.java
@@ -3,47 +3,49 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Lines for the operators, on standard error, and no more of them in a second than an operator can use: a failure that
- * repeats thousands of times a second must not take the CPU from the requests that succeed. The number of dropped lines
- * is logged with the next line of a later second.
+ * Writes log lines for the operators to standard error, up to a limited number per second: logging a failure that
+ * repeats thousands of times a second must not take CPU time from the requests that succeed. The number of dropped
+ * lines is logged before the first line of a later second.
  *
- * <p>Not thread-safe: a proxy's log is used on its event loop.
+ * <p>Not thread-safe: the log of a proxy is used on its event loop only.
  */
 public final class RateLimitedLog {
     private static final int MAX_LINES_PER_SECOND = 20;
     private static final long NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
-    /** The second of {@link System#nanoTime} that the counts are of. */
+    /** The second that the counters below refer to, on the scale of {@link System#nanoTime}. */
     private long second = Long.MIN_VALUE;
 
-    private int lines;
-    private int dropped;
+    /** The lines of this second, including those dropped. */
+    private int linesThisSecond;
 
-    /** Writes a line, or drops it once the lines of this second are used up. Line breaks in the text become spaces. */
+    private int droppedLines;
+
+    /** Writes a line, or drops it if the limit of this second is reached. Line breaks in the text become spaces. */
     public void write(String text) {
         long now = System.nanoTime() / NANOS_PER_SECOND;
         if (now != second) {
-            begin(now);
+            startSecond(now);
         }
-        if (++lines > MAX_LINES_PER_SECOND) {
-            dropped++;
+        if (++linesThisSecond > MAX_LINES_PER_SECOND) {
+            droppedLines++;
         } else {
             System.err.println(text.replace('\n', ' ').replace('\r', ' '));
         }
     }
 
-    /** Writes an unexpected error in one line, with the place where it was thrown. */
-    public void writeException(String what, Throwable cause) {
+    /** Writes a message and an unexpected exception in one line, with the place where the exception was thrown. */
+    public void writeException(String message, Throwable cause) {
         StackTraceElement[] trace = cause.getStackTrace();
-        write(what + ": " + cause + (trace.length > 0 ? " at " + trace[0] : ""));
+        write(message + ": " + cause + (trace.length > 0 ? " at " + trace[0] : ""));
     }
 
-    private void begin(long newSecond) {
-        if (dropped > 0) {
-            System.err.println("(" + dropped + " lines dropped)");
+    private void startSecond(long newSecond) {
+        if (droppedLines > 0) {
+            System.err.println("log rate limit exceeded: " + droppedLines + " lines dropped");
         }
         second = newSecond;
-        lines = 0;
-        dropped = 0;
+        linesThisSecond = 0;
+        droppedLines = 0;
     }
 }
--- a/src/main/java/gaugegw/proxy/logging/package-info.java
+++ b/src/main/java/gaugegw/proxy/logging/package-info.java
@@ -1,2 +1,2 @@
-/** The log for the operators, on standard error. Depends on nothing else. */
+/** The log for the operators, on standard error. Depends on the Java library only. */
 package gaugegw.proxy.logging;
