--- a/src/main/java/gaugegw/proxy/transport/Clock.java
+++ b/src/main/java/gaugegw/proxy/transport/Clock.java
@@ -4,10 +4,10 @@
 import java.time.temporal.ChronoUnit;
 
 /**
- * The proxy's one clock: Unix time in microseconds. The system's time is read once, when the clock is made, and carried
- * on by the monotonic timer. So its times compare with the start times in discovery's endpoint list, and it never goes
- * back, also when the system's time is set. Two clocks may differ by what the system's time was set meanwhile: times of
- * one proxy all come from one clock. May be used from any thread.
+ * The clock of a proxy: Unix time in microseconds. It reads the system clock once, when it is created, and advances
+ * with the monotonic {@link System#nanoTime} from then on. So its times can be compared with the start times in
+ * discovery's endpoint list, and they never go back, even if the system clock is set. Two instances differ if the
+ * system clock was set between their creation; therefore all times of a proxy come from a single instance. Thread-safe.
  */
 public final class Clock {
     private static final long NANOS_PER_MICRO = 1_000;
@@ -15,7 +15,7 @@
     private final long startUnixUs = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
     private final long startNanos = System.nanoTime();
 
-    /** Returns the Unix time in microseconds. */
+    /** Returns the current Unix time in microseconds. */
     public long nowUs() {
         return startUnixUs + (System.nanoTime() - startNanos) / NANOS_PER_MICRO;
     }
--- a/src/main/java/gaugegw/proxy/transport/ConnectionLimiter.java
+++ b/src/main/java/gaugegw/proxy/transport/ConnectionLimiter.java
@@ -5,52 +5,54 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Keeps the connections of clients and to backends within the {@link DescriptorBudget}, so that the process stays under
- * its limit of file descriptors and calls to discovery always find one. As connections run short, those of clients are
- * closed with their responses and idle ones are evicted. While nothing can be evicted no client is accepted, and new
- * ones wait in the listener's backlog.
+ * Limits the number of open connections of clients and to backends to the {@link DescriptorBudget}, so that the process
+ * does not exceed its limit on file descriptors and a call to discovery always gets one. When client connections come
+ * near their limit, they are closed with their responses. When a limit is exceeded, idle connections are evicted, that
+ * is, closed. While evictions do not suffice, no connections are accepted, and new clients wait in the backlog of the
+ * listening socket.
  *
- * <p>All methods but {@link #setListeningChannel} are called on the event loop. Connections are counted from their
- * opening until their descriptors are released; each reports here whether it is busy, and so whether it may be evicted.
+ * <p>All methods except {@link #setListeningChannel} are called on the event loop. A connection counts from when it is
+ * opened until its descriptor is released. Its handlers report here whether it is busy or idle; only an idle connection
+ * and a new client may be evicted.
  */
 public final class ConnectionLimiter {
-    /** Time in which the first request of a new connection arrives: one evicted sooner would fail that request. */
+    /** A new client is not evicted for this long, as its first request may be on the way and would fail. */
     private static final long FIRST_REQUEST_GRACE_NS = TimeUnit.MILLISECONDS.toNanos(20);
-    /** Above this part of the clients' share of the budget, their connections are closed with their responses. */
+    /** Above this percentage of the limit for clients, their connections are closed with their responses. */
     private static final int NEAR_CLIENT_LIMIT_PERCENT = 75;
 
     private final EventLoop loop;
     private final DescriptorBudget budget;
     private final EvictionQueue idleBackends = new EvictionQueue(0);
-    /** Clients from which no complete request has arrived yet. */
+    /** Connections of clients that have not sent a complete request yet. */
     private final EvictionQueue newClients = new EvictionQueue(FIRST_REQUEST_GRACE_NS);
-    /** Clients that have received a response and have sent no complete request since. */
+    /** Connections of clients that have received a response and have sent no complete request since. */
     private final EvictionQueue idleClients = new EvictionQueue(0);
 
     private int clients;
     private int backends;
-    /** Closed connections whose descriptors the selector has yet to release. */
-    private int unreleased;
+    /** Number of closed connections whose descriptors the selector has not released yet. */
+    private int closedUnreleased;
 
     private boolean evictionScheduled;
-    private Channel listener;
+    private Channel listeningChannel;
 
     /**
-     * Makes a limiter.
+     * Creates a limiter.
      *
-     * @param descriptorLimit the number of file descriptors that the process may hold
+     * @param descriptorLimit the number of file descriptors that the process may have open
      */
     public ConnectionLimiter(EventLoop loop, int descriptorLimit) {
         this.loop = loop;
         budget = DescriptorBudget.of(descriptorLimit);
     }
 
-    /** Sets the listening channel, which accepts only while there is room for all that it may accept in one turn. */
+    /** Sets the listening channel, which accepts connections only while the budget allows it. */
     public void setListeningChannel(Channel channel) {
-        listener = channel;
+        listeningChannel = channel;
     }
 
-    /** Counts a client's connection from its acceptance until its close. */
+    /** Counts a client's connection that has been accepted, until it is closed and its descriptor is released. */
     public void clientOpened(Channel channel) {
         assert loop.inEventLoop();
         clients++;
@@ -58,112 +60,119 @@
         channel.closeFuture().addListener(f -> {
             clients--;
             clientBusy(channel);
-            awaitRelease();
+            countUntilReleased();
         });
-        evictSoon();
+        scheduleEviction();
         updateAccepting();
     }
 
-    /** A client's connection has a request in flight, and is not evicted. */
+    /** Marks a client's connection as busy: it has a request in flight and must not be evicted. */
     public void clientBusy(Channel channel) {
         assert loop.inEventLoop();
         newClients.remove(channel);
         idleClients.remove(channel);
     }
 
-    /** A client's connection has no request in flight, and may be evicted. */
+    /** Marks a client's connection as idle: it has no request in flight and may be evicted. */
     public void clientIdle(Channel channel) {
         clientBusy(channel);
         if (channel.isOpen()) {
             idleClients.add(channel);
-            evictSoon();
+            scheduleEviction();
         }
     }
 
     /**
-     * Returns whether clients' connections are to be closed with their responses, as they run short. Unlike an eviction,
-     * a close with a response never crosses the client's next request.
+     * Returns whether connections of clients should be closed with their responses, because there are almost too many.
+     * Unlike an eviction, a close that a response announces can't cross the client's next request.
      */
     public boolean isNearClientLimit() {
         return clients > budget.maxClients() * NEAR_CLIENT_LIMIT_PERCENT / 100;
     }
 
-    /** Makes room for one more connection to a backend, by an eviction if need be; returns whether one may be opened. */
-    public boolean tryAdmitBackend() {
+    /** Returns whether a connection to a backend may be opened; evicts another connection if that is necessary. */
+    public boolean makeRoomForBackend() {
         assert loop.inEventLoop();
-        // The descriptor of an evicted connection is still held while the new one is opened.
-        return open() < budget.maxOpen()
-                && (Math.min(clients, budget.maxClients()) + backends < budget.maxConnections()
+        // An evicted connection still holds its descriptor while the new one is opened: first check the hard limit.
+        return heldDescriptors() < budget.hardConnectionLimit()
+                && (Math.min(clients, budget.maxClients()) + backends < budget.softConnectionLimit()
                         || idleBackends.evictOldest()
                         || evictClient());
     }
 
-    /** Counts a connection to a backend from before its connect until its close. */
+    /** Counts a connection to a backend that is about to connect, until it is closed and its descriptor is released. */
     public void backendOpened(Channel channel) {
         assert loop.inEventLoop();
         backends++;
         channel.closeFuture().addListener(f -> {
             backends--;
             backendBusy(channel);
-            awaitRelease();
+            countUntilReleased();
         });
         updateAccepting();
     }
 
-    /** A connection to a backend carries an attempt, and is not evicted. */
+    /** Marks a connection to a backend as busy: it carries an attempt and must not be evicted. */
     public void backendBusy(Channel channel) {
         assert loop.inEventLoop();
         idleBackends.remove(channel);
     }
 
-    /** A connection to a backend carries no attempt, and may be evicted. */
+    /** Marks a connection to a backend as idle: it carries no attempt and may be evicted. */
     public void backendIdle(Channel channel) {
         backendBusy(channel);
         if (channel.isOpen()) {
             idleBackends.add(channel);
-            evictSoon();
+            scheduleEviction();
         }
     }
 
     /**
-     * Counts a closed socket until its descriptor is released, in the selector's next turn. A task may still run before
-     * that turn; what the task schedules runs after it.
+     * Counts a closed connection until the selector runs next, which is when its descriptor is released. A task that is
+     * submitted now may run before the selector does; a timer that the task schedules runs after it.
      */
-    private void awaitRelease() {
-        unreleased++;
-        loop.execute(() -> loop.schedule(this::released, 0, TimeUnit.NANOSECONDS));
+    private void countUntilReleased() {
+        closedUnreleased++;
+        loop.execute(() -> loop.schedule(this::descriptorReleased, 0, TimeUnit.NANOSECONDS));
     }
 
-    private void released() {
+    private void descriptorReleased() {
         assert loop.inEventLoop();
-        unreleased--;
+        closedUnreleased--;
         updateAccepting();
     }
 
-    private int open() {
-        return clients + backends + unreleased;
+    /** Returns the number of descriptors that connections hold, including closed connections. */
+    private int heldDescriptors() {
+        return clients + backends + closedUnreleased;
     }
 
     private void updateAccepting() {
-        boolean accepting = clients <= budget.maxClients() && open() <= budget.maxConnections();
-        if (listener != null && listener.config().isAutoRead() != accepting) {
-            listener.config().setAutoRead(accepting);
+        boolean accepting = clients <= budget.maxClients() && heldDescriptors() <= budget.softConnectionLimit();
+        if (listeningChannel != null && listeningChannel.config().isAutoRead() != accepting) {
+            listeningChannel.config().setAutoRead(accepting);
         }
     }
 
     private boolean overBudget() {
-        return clients > budget.maxClients() || clients + backends > budget.maxConnections();
+        return clients > budget.maxClients() || clients + backends > budget.softConnectionLimit();
     }
 
-    /** Evicts in a task: what the loop has found to be readable is read first, and may make a connection busy. */
-    private void evictSoon() {
+    /**
+     * Evicts connections in a task, if too many are open. By then the event loop has read the sockets that it already
+     * knows to be readable, and a connection that has received a request is busy and not evicted.
+     */
+    private void scheduleEviction() {
         if (overBudget() && !evictionScheduled) {
             evictionScheduled = true;
             loop.execute(this::evictDownToBudget);
         }
     }
 
-    /** Evicts until the budget is kept; once more later where what is left are new clients. */
+    /**
+     * Evicts connections until the limits are kept or none may be evicted. If there are new clients left then, tries
+     * again when they may be evicted too.
+     */
     private void evictDownToBudget() {
         evictionScheduled = false;
         while (overBudget()) {
@@ -177,6 +186,7 @@
         }
     }
 
+    /** Evicts one connection, a client's if there are too many clients; returns whether there was one to evict. */
     private boolean evictOne() {
         boolean tooManyClients = clients > budget.maxClients();
         return (!tooManyClients && idleBackends.evictOldest()) || evictClient();
--- a/src/main/java/gaugegw/proxy/transport/DescriptorBudget.java
+++ b/src/main/java/gaugegw/proxy/transport/DescriptorBudget.java
@@ -1,39 +1,43 @@
 package gaugegw.proxy.transport;
 
 /**
- * How the file descriptors that a process may hold are divided.
+ * Divides the file descriptors that the process may have open among its uses.
  *
- * @param maxConnections connections of clients and to backends together beyond which accepting is paused
- * @param maxClients the part of these that clients may have
- * @param maxOpen connections that may be open at any moment, those accepted in one turn of the loop included
+ * @param softConnectionLimit the number of connections of clients and to backends above which no more are accepted and
+ *     idle ones are evicted
+ * @param maxClients the number of connections of clients above which the same applies
+ * @param hardConnectionLimit the number of connections that may be open at any time, including those that are accepted
+ *     in one iteration of the event loop before accepting is paused
  */
-public record DescriptorBudget(int maxConnections, int maxClients, int maxOpen) {
+public record DescriptorBudget(int softConnectionLimit, int maxClients, int hardConnectionLimit) {
     /**
-     * What an idle process holds (see {@code /proc/PID/fd}): three standard streams, the runtime's module file and the
-     * jar, two sources of random numbers, the selector's epoll and event descriptors, the listener, and at times one
-     * more socket. The others are for files that are open for a moment: the configuration, the class archive at the
-     * start, and what the runtime loads late.
+     * Descriptors for the runtime. An idle process has these open (see {@code /proc/PID/fd}): three standard streams,
+     * the runtime's module file and the jar, two sources of random numbers, the selector's epoll and event descriptors,
+     * the listening socket, and at times one more socket. The remaining ones are for files that are open briefly: the
+     * configuration, the class data archive at startup, and files that the runtime loads later.
      */
     private static final int RUNTIME_DESCRIPTORS = 16;
 
     /**
-     * Calls to discovery: the watch, a call that it has replaced and that the selector has not yet released, and the
-     * same for a fetch of the complete list. They are not counted, so that no number of clients can block them.
+     * Descriptors for calls to discovery: the current watch, the previous one until the selector has released its
+     * descriptor, and the same two for a fetch of the complete list. These connections do not count towards the limits
+     * on connections, so that clients can't block them, however many there are.
      */
     private static final int DISCOVERY_DESCRIPTORS = 4;
 
     /**
-     * What the environment may hold in the process: inherited descriptors and those of a preloaded library; and the one
-     * connection that may still be accepted in the turn of the loop in which accepting is paused.
+     * Descriptors that the environment may open in the process, by inheritance or in a preloaded library, and one for
+     * the connection that may still be accepted in the iteration of the event loop in which accepting is paused.
      */
     private static final int ENVIRONMENT_DESCRIPTORS = 8;
 
-    /** Divides a limit, which the configuration states as {@code limits.sockets}. */
+    /** Returns the budget for a limit on file descriptors, which the configuration states as {@code limits.sockets}. */
     public static DescriptorBudget of(int descriptorLimit) {
-        int maxOpen = descriptorLimit - RUNTIME_DESCRIPTORS - DISCOVERY_DESCRIPTORS - ENVIRONMENT_DESCRIPTORS;
-        int maxConnections = maxOpen - SocketTransport.MAX_ACCEPTS_PER_TURN;
-        // A request needs a connection on either side: clients alone must not use up what their requests need.
-        int maxClients = maxConnections * 5 / 8;
-        return new DescriptorBudget(maxConnections, maxClients, maxOpen);
+        int hardConnectionLimit =
+                descriptorLimit - RUNTIME_DESCRIPTORS - DISCOVERY_DESCRIPTORS - ENVIRONMENT_DESCRIPTORS;
+        int softConnectionLimit = hardConnectionLimit - SocketTransport.MAX_ACCEPTS_PER_ITERATION;
+        // A request needs a client's connection and one to a backend: clients must leave enough for the latter.
+        int maxClients = softConnectionLimit * 5 / 8;
+        return new DescriptorBudget(softConnectionLimit, maxClients, hardConnectionLimit);
     }
 }
--- a/src/main/java/gaugegw/proxy/transport/EvictionQueue.java
+++ b/src/main/java/gaugegw/proxy/transport/EvictionQueue.java
@@ -6,29 +6,29 @@
 import java.util.Map;
 
 /**
- * Connections that may be closed to free their descriptors for others, in the order in which they became so. Used on the
- * event loop only.
+ * Connections that may be closed so that others can use their descriptors, in the order in which they were added. Used
+ * on the event loop only.
  */
 final class EvictionQueue {
     private final long minAgeNs;
-    /** The {@link System#nanoTime} at which each was added. */
+    /** When each connection was added, as {@link System#nanoTime}; oldest first. */
     private final Map<Channel, Long> addedAtNs = new LinkedHashMap<>();
 
     /**
-     * Makes an empty queue.
+     * Creates an empty queue.
      *
-     * @param minAgeNs time in the queue, in nanoseconds, before which a connection is not closed
+     * @param minAgeNs how long a connection stays in the queue before it may be closed, in nanoseconds
      */
     EvictionQueue(long minAgeNs) {
         this.minAgeNs = minAgeNs;
     }
 
-    /** Adds a connection, which is not in the queue, at its end. */
+    /** Adds a connection at the end of the queue; it must not be in the queue already. */
     void add(Channel channel) {
         addedAtNs.put(channel, System.nanoTime());
     }
 
-    /** Removes a connection, if it is in the queue. */
+    /** Removes a connection; does nothing if it is not in the queue. */
     void remove(Channel channel) {
         addedAtNs.remove(channel);
     }
@@ -37,7 +37,7 @@
         return addedAtNs.isEmpty();
     }
 
-    /** Closes the connection that was added first; returns whether there was one that may be closed. */
+    /** Closes the connection that was added first, if it has the minimum age; returns whether one was closed. */
     boolean evictOldest() {
         Iterator<Map.Entry<Channel, Long>> entries = addedAtNs.entrySet().iterator();
         if (!entries.hasNext()) {
--- a/src/main/java/gaugegw/proxy/transport/InProcessTransport.java
+++ b/src/main/java/gaugegw/proxy/transport/InProcessTransport.java
@@ -13,9 +13,9 @@
 import java.net.SocketAddress;
 import java.util.UUID;
 
-/** Connects by Netty's channels inside the process. */
+/** A transport over Netty's local channels, which connect within the process. */
 final class InProcessTransport implements Transport {
-    /** Local addresses are the process's: the prefix keeps those of two transports apart. */
+    /** Distinguishes the addresses of this transport: Netty's local addresses are shared by the whole process. */
     private final String addressPrefix = UUID.randomUUID().toString();
 
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, LocalIoHandler.newFactory()).next();
@@ -42,7 +42,7 @@
         return new LocalAddress(addressPrefix + address);
     }
 
-    /** The peers are stubs of this process, which send nothing that was not requested. */
+    /** Returns true: the other ends are stubs in this process, which never send more than the responses. */
     @Override
     public boolean hasNothingToRead(Channel channel) {
         return true;
--- a/src/main/java/gaugegw/proxy/transport/SocketTransport.java
+++ b/src/main/java/gaugegw/proxy/transport/SocketTransport.java
@@ -21,52 +21,57 @@
 import java.util.logging.LogRecord;
 import java.util.logging.SimpleFormatter;
 
-/** Connects by TCP sockets. */
+/** A transport over TCP sockets. */
 final class SocketTransport implements Transport {
-    /** Connections accepted in one turn of the loop; counted after the last of them, so {@link DescriptorBudget} reserves as many. */
-    static final int MAX_ACCEPTS_PER_TURN = 32;
+    /**
+     * Maximum number of connections accepted in one iteration of the event loop. They are counted only after all of
+     * them have been accepted; therefore {@link DescriptorBudget} reserves a descriptor for each.
+     */
+    static final int MAX_ACCEPTS_PER_ITERATION = 32;
 
-    private static final int MAX_READS_PER_TURN = 16;
+    private static final int MAX_READS_PER_ITERATION = 16;
 
-    /** Connections that the kernel holds while accepting is paused. */
+    /** Number of new connections that the kernel queues, for example while accepting is paused. */
     private static final int LISTEN_BACKLOG = 1_024;
 
     private final EventLoop loop;
     private final ServerBootstrap server;
     private final Bootstrap client;
-    /** Receives the byte that {@link #hasNothingToRead} may read; its content is not used. */
-    private final ByteBuffer probe = ByteBuffer.allocateDirect(1);
+    /** Receives the byte that {@link #hasNothingToRead} may read; its content is ignored. */
+    private final ByteBuffer probeBuffer = ByteBuffer.allocateDirect(1);
 
     SocketTransport() {
-        loadLogging();
+        preloadLogFormatting();
         loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-        server = serverBootstrap(loop);
+        server = newServerBootstrap(loop);
         client = new Bootstrap().group(loop).channel(NioSocketChannel.class);
     }
 
     /**
-     * Formats a line as Netty's log does. The first one opens files, such as those of the time zones. Without this, a
-     * process that has run out of descriptors could not log so: the formatting would fail, and its error end the loop.
+     * Formats a log record as Netty's logging does. The first such call opens files, such as those of the time zones.
+     * If it were made only when the process has run out of descriptors, it would fail, and the error would end the
+     * event loop.
      */
-    private static void loadLogging() {
+    private static void preloadLogFormatting() {
         new SimpleFormatter().format(new LogRecord(Level.WARNING, ""));
     }
 
-    private static ServerBootstrap serverBootstrap(EventLoop loop) {
+    private static ServerBootstrap newServerBootstrap(EventLoop loop) {
         return new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
-                // Several at a time: with one in each turn of a busy loop, clients would time out in the backlog.
+                // Accept several connections at once: with one per iteration, clients would time out in the backlog
+                // while the event loop is busy.
                 .option(
                         ChannelOption.RECVBUF_ALLOCATOR,
-                        new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(MAX_ACCEPTS_PER_TURN))
-                // Reads to the end of what has arrived, as only that shows whether the client has disconnected.
+                        new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(MAX_ACCEPTS_PER_ITERATION))
+                // Read all that has been received, as only that shows whether the client has disconnected.
                 .childOption(
                         ChannelOption.RECVBUF_ALLOCATOR,
                         new AdaptiveRecvByteBufAllocator()
                                 .respectMaybeMoreData(false)
-                                .maxMessagesPerRead(MAX_READS_PER_TURN))
-                // A client that ends its sending may still wait for responses.
+                                .maxMessagesPerRead(MAX_READS_PER_ITERATION))
+                // A client that has shut down its output may still be waiting for responses.
                 .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
                 .option(ChannelOption.SO_BACKLOG, LISTEN_BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true);
@@ -96,13 +101,13 @@
     public boolean hasNothingToRead(Channel channel) {
         assert loop.inEventLoop();
         try {
-            return socket(channel).read(probe.clear()) == 0;
+            return socket(channel).read(probeBuffer.clear()) == 0;
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** Returns the socket below a channel: a read by Netty would run the channel's handlers. */
+    /** Returns the socket of a channel, to be read directly: a read by Netty would call the channel's handlers. */
     private static SocketChannel socket(Channel channel) {
         return (SocketChannel) ((AbstractNioChannel.NioUnsafe) channel.unsafe()).ch();
     }
--- a/src/main/java/gaugegw/proxy/transport/Transport.java
+++ b/src/main/java/gaugegw/proxy/transport/Transport.java
@@ -9,24 +9,25 @@
 import java.net.SocketAddress;
 
 /**
- * What connections are made of, and the one thread that serves them. A proxy serves on {@link #sockets}; the warm-up's
- * connections are {@link #inProcess}.
+ * Provides the means to listen and connect, and the event loop whose single thread serves all connections. A proxy uses
+ * {@link #sockets} for its clients and backends and {@link #inProcess} for its warm-up.
  */
 public interface Transport {
-    /** Makes a transport of TCP sockets, with an event loop of its own. Whoever makes it ends the loop. */
+    /** Creates a transport over TCP sockets with its own event loop, which the caller must shut down. */
     static Transport sockets() {
         return new SocketTransport();
     }
 
-    /** Makes a transport of channels inside the process, with an event loop of its own. Whoever makes it ends the loop. */
+    /** Creates a transport within the process with its own event loop, which the caller must shut down. */
     static Transport inProcess() {
         return new InProcessTransport();
     }
 
     /**
-     * Reads what a socket has received, an end or a reset too, ahead of the loop's next selection. Its handlers run before
-     * this returns, but for {@code channelInactive}, which follows as a task. Channels inside the process are left alone.
-     * Not to be called while the channel is being read.
+     * Reads what a socket has received, including a close or a reset, without waiting for the next run of the selector.
+     * The channel's handlers are called before this method returns, except for {@code channelInactive}, which is called
+     * in a later task. Does nothing for a channel within the process. Must not be called while the channel is being
+     * read.
      */
     static void readNow(Channel channel) {
         assert channel.eventLoop().inEventLoop();
@@ -35,21 +36,22 @@
         }
     }
 
-    /** Returns the event loop, which all connections of this transport share. */
+    /** Returns the event loop that all connections of this transport share. */
     EventLoop loop();
 
-    /** Returns the template of listening channels; to be cloned. */
+    /** Returns the template for listening channels; the caller must clone it. */
     ServerBootstrap serverBootstrap();
 
-    /** Returns the template of connecting channels; to be cloned. */
+    /** Returns the template for channels that connect; the caller must clone it. */
     Bootstrap clientBootstrap();
 
-    /** Returns the address by which this transport reaches what is configured under an IP address and port. */
+    /** Returns the address by which this transport reaches the server at a configured IP address and port. */
     SocketAddress toSocketAddress(InetSocketAddress address);
 
     /**
-     * Returns whether nothing has arrived, neither bytes nor an end, on a connection where nothing is expected and that
-     * the loop is yet to read. Where something has, part of it may have been consumed: the caller closes the connection.
+     * Returns whether a connection on which nothing is expected has indeed received nothing, neither bytes nor a close,
+     * that the event loop has not read yet. If this returns false, a byte may have been consumed, and the caller must
+     * close the connection.
      */
     boolean hasNothingToRead(Channel channel);
 }
--- a/src/main/java/gaugegw/proxy/transport/package-info.java
+++ b/src/main/java/gaugegw/proxy/transport/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What the proxy's connections are made of: the event loop, sockets, descriptors and time.
+ * The foundation of the proxy's connections: the event loop, sockets, the limit on file descriptors and the clock.
  *
- * <p>Depends on Netty alone; all other packages of the proxy may use it. A {@link gaugegw.proxy.transport.Transport}
- * owns its event loop, the one thread that uses the classes of this package.
+ * <p>Depends on Netty only; all other packages of the proxy may use it. A {@link gaugegw.proxy.transport.Transport}
+ * owns its event loop. The classes of this package are used on its thread unless their documentation says otherwise.
  */
 package gaugegw.proxy.transport;
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
@@ -150,7 +150,7 @@
         if (endpoint == null || !endpoint.isReady()) {
             return null;
         }
-        if (!endpoint.pool().reserveIdle() && !context.limiter().tryAdmitBackend()) {
+        if (!endpoint.pool().reserveIdle() && !context.limiter().makeRoomForBackend()) {
             return null;
         }
         return new UpstreamAttempt(context, endpoint, request, timeoutUs, beforeWrite, listener);
--- a/src/test/java/gaugegw/proxy/transport/ConnectionLimiterTest.java
+++ b/src/test/java/gaugegw/proxy/transport/ConnectionLimiterTest.java
@@ -35,7 +35,7 @@
 
     private int openBackends() {
         int opened = 0;
-        while (opened < DESCRIPTOR_LIMIT && limiter.tryAdmitBackend()) {
+        while (opened < DESCRIPTOR_LIMIT && limiter.makeRoomForBackend()) {
             limiter.backendOpened(new EmbeddedChannel());
             opened++;
         }
@@ -67,7 +67,7 @@
     @Test
     void aBurstOfClientsBesideOpenBackendsKeepsWithinTheLimit() {
         int backends = openBackends();
-        connectClients(SocketTransport.MAX_ACCEPTS_PER_TURN);
+        connectClients(SocketTransport.MAX_ACCEPTS_PER_ITERATION);
         assertThat(clients).isNotEmpty();
         assertThat(backends + clients.size()).isLessThanOrEqualTo(DESCRIPTOR_LIMIT - RESERVED_DESCRIPTORS);
     }
@@ -78,7 +78,7 @@
      */
     @Test
     void closedConnectionsCountUntilTheirDescriptorsAreReleased() {
-        connectClients(SocketTransport.MAX_ACCEPTS_PER_TURN);
+        connectClients(SocketTransport.MAX_ACCEPTS_PER_ITERATION);
         clients.forEach(Channel::close);
         assertThat(openBackends() + clients.size()).isLessThanOrEqualTo(DESCRIPTOR_LIMIT - RESERVED_DESCRIPTORS);
         assertThat(listener.config().isAutoRead()).isFalse();
--- a/src/test/java/gaugegw/proxy/transport/DescriptorReserveTest.java
+++ b/src/test/java/gaugegw/proxy/transport/DescriptorReserveTest.java
@@ -107,7 +107,7 @@
     @Test
     @Timeout(30)
     void aConnectionInPlaceOfAClosedOneNeedsADescriptorToo() throws Exception {
-        int backends = DescriptorBudget.of(DESCRIPTOR_LIMIT).maxConnections() / 2;
+        int backends = DescriptorBudget.of(DESCRIPTOR_LIMIT).softConnectionLimit() / 2;
         int requests = backends - 1;
         var blockerMayEnd = new CountDownLatch(1);
         var unrequestedBytesSent = new CountDownLatch(1);
