--- a/src/main/java/gaugegw/balancer/AttemptOutcomeRecorder.java
+++ b/src/main/java/gaugegw/balancer/AttemptOutcomeRecorder.java
@@ -3,7 +3,7 @@
 import gaugegw.balancer.api.AttemptOutcome;
 import gaugegw.balancer.api.Event.AttemptEnded;
 
-/** Feeds the outcome of an attempt to the health, latency and load statistics. */
+/** Updates the health, latency and load statistics with the outcome of an attempt. */
 final class AttemptOutcomeRecorder {
     private final OutcomeRates rates;
     private final LoadStatistics load;
@@ -13,10 +13,12 @@
         this.load = load;
     }
 
+    /** Records the outcome of an attempt that has ended. */
     void record(PendingRequest request, AttemptRecord attempt, AttemptEnded event, long nowUs) {
         AttemptOutcome outcome = event.outcome();
-        boolean causedByEndpoint = outcome != AttemptOutcome.CANCELLED && outcome != AttemptOutcome.NOT_SENT;
-        if (causedByEndpoint) {
+        // A cancelled or unsent attempt says nothing about the endpoint.
+        boolean concernsEndpoint = outcome != AttemptOutcome.CANCELLED && outcome != AttemptOutcome.NOT_SENT;
+        if (concernsEndpoint) {
             rates.recordAttempt(outcome);
             attempt.endpoint().health().recordOutcome(request.flow(), outcome, rates.errorRate(), nowUs);
             attempt.endpoint().latency().record(effectiveLatencyUs(request, attempt, event));
@@ -27,7 +29,10 @@
         }
     }
 
-    /** A failure counts as a slow answer, or an endpoint that fails fast would gain weight by it. In microseconds. */
+    /**
+     * Returns the latency to record, in microseconds. A failure counts as a slow response; otherwise an endpoint that
+     * fails fast would gain weight.
+     */
     private static long effectiveLatencyUs(PendingRequest request, AttemptRecord attempt, AttemptEnded event) {
         return switch (event.outcome()) {
             case SUCCESS -> event.latencyUs();
--- a/src/main/java/gaugegw/balancer/AttemptRecord.java
+++ b/src/main/java/gaugegw/balancer/AttemptRecord.java
@@ -3,7 +3,7 @@
 import gaugegw.balancer.api.AttemptOutcome;
 import gaugegw.balancer.api.Endpoint;
 
-/** One attempt of a request, with the time-out that it was started with. */
+/** One attempt of a request at an endpoint. */
 final class AttemptRecord {
     private final EndpointRecord endpoint;
     private final Endpoint listEntryAtStart;
@@ -15,8 +15,8 @@
     /**
      * Creates the record of an attempt that starts now.
      *
-     * @param startedAtUs now, on the proxy's clock, in microseconds
-     * @param timeoutUs after which the attempt ends without an answer, in microseconds
+     * @param startedAtUs the current time on the proxy's clock, in microseconds
+     * @param timeoutUs time from the start after which the attempt ends without a response, in microseconds
      */
     AttemptRecord(EndpointRecord endpoint, long startedAtUs, long timeoutUs) {
         this.endpoint = endpoint;
@@ -29,17 +29,20 @@
         return endpoint;
     }
 
-    /** Returns the list entry when the attempt started: a later one may name another zone or cell. */
+    /**
+     * Returns the endpoint's list entry at the start of the attempt. A later entry may have a different zone or cell,
+     * which matters for deduplication.
+     */
     Endpoint listEntryAtStart() {
         return listEntryAtStart;
     }
 
-    /** Returns the start on the proxy's clock, in microseconds. */
+    /** Returns when the attempt started, on the proxy's clock in microseconds. */
     long startedAtUs() {
         return startedAtUs;
     }
 
-    /** Returns the time-out, in microseconds from the start. */
+    /** Returns the timeout, in microseconds from the start. */
     long timeoutUs() {
         return timeoutUs;
     }
--- a/src/main/java/gaugegw/balancer/CacheAffinity.java
+++ b/src/main/java/gaugegw/balancer/CacheAffinity.java
@@ -3,8 +3,9 @@
 import java.util.Comparator;
 
 /**
- * Finds the endpoint that likely has the data of an affinity key cached, by rendezvous hashing: all proxies find the
- * same one without messages, and a change of the endpoint list moves only the keys of the endpoints that come or go.
+ * Finds the endpoint that probably has the data for an affinity key in its cache, by rendezvous hashing. All proxies
+ * find the same endpoint without communicating, and a change of the endpoint list affects only the keys of the
+ * endpoints that are added or removed.
  */
 final class CacheAffinity {
     private final EndpointMembership membership;
@@ -14,7 +15,7 @@
     }
 
     /**
-     * Returns the endpoint, or null without a key or without a ready endpoint.
+     * Returns the endpoint for an affinity key, or null if there is no key or no ready endpoint.
      *
      * @param key the affinity key, or null
      */
--- a/src/main/java/gaugegw/balancer/EndpointRecord.java
+++ b/src/main/java/gaugegw/balancer/EndpointRecord.java
@@ -4,8 +4,9 @@
 import gaugegw.balancer.api.EndpointState;
 
 /**
- * What this proxy knows of one process behind an endpoint id; a restart under the same id gets a new record. {@link
- * EndpointMembership} sets what the list says, {@link EndpointWeights} the weight.
+ * The state that this proxy keeps for an endpoint: its list entry, health, latency, weight and virtual time. The record
+ * stands for one process; if the process restarts under the same id, it gets a new record. {@link EndpointMembership}
+ * applies list entries, {@link EndpointWeights} sets the weight and resets the virtual time.
  */
 final class EndpointRecord {
     private final String id;
@@ -18,7 +19,7 @@
     private double weight;
     private double virtualTime;
 
-    /** Creates a record that is not ready, and has no weight, until the first {@link #update}. */
+    /** Creates a record that is not ready until the first {@link #update} and has no weight yet. */
     EndpointRecord(Endpoint listEntry, EndpointHealth health, SlowStartTokenBucket slowStartTokens) {
         this.id = listEntry.id();
         this.listEntry = listEntry;
@@ -42,12 +43,12 @@
         return slowStartTokens;
     }
 
-    /** Returns the list entry in force. */
+    /** Returns the latest list entry. */
     Endpoint listEntry() {
         return listEntry;
     }
 
-    /** Returns whether attempts may start: not once it drains, is gone, or was replaced by a restart. */
+    /** Returns whether attempts may start, that is, unless the endpoint drains, is gone or has restarted. */
     boolean isReady() {
         return ready;
     }
@@ -56,27 +57,31 @@
         return inProxyZone;
     }
 
-    /** Returns the weight; the weights of all ready endpoints add up to 1. */
+    /** Returns the weight in the selection order. The weights of all ready endpoints add up to 1. */
     double weight() {
         return weight;
     }
 
-    /** Returns the virtual time of the earliest-deadline order: the attempts started since the weights were set. */
+    /** Returns the virtual time: the number of attempts started since the last refresh of the weights. */
     double virtualTime() {
         return virtualTime;
     }
 
-    /** Returns the health for a flow. */
+    /** Returns the condition of the endpoint for a flow. */
     EndpointHealth.Condition condition(int flow, long nowUs) {
         return health.condition(flow, latency.kindAverage().meanUs(), nowUs);
     }
 
-    /** Takes a list entry for this process. */
-    void update(Endpoint entry, boolean inProxyZone, LatencyAverage kind) {
+    /**
+     * Applies a list entry for this process.
+     *
+     * @param kindAverage the average latency of the endpoint's kind
+     */
+    void update(Endpoint entry, boolean inProxyZone, LatencyAverage kindAverage) {
         this.listEntry = entry;
         this.inProxyZone = inProxyZone;
         this.ready = entry.state() == EndpointState.READY;
-        latency.setKindAverage(kind);
+        latency.setKindAverage(kindAverage);
     }
 
     void markNotReady() {
@@ -91,6 +96,7 @@
         virtualTime = 0;
     }
 
+    /** Records the start of an attempt at this endpoint. */
     void recordAttemptStarted(int flow, long nowUs) {
         virtualTime += 1;
         health.recordAttemptStarted(flow, nowUs);
--- a/src/main/java/gaugegw/balancer/PreferenceTier.java
+++ b/src/main/java/gaugegw/balancer/PreferenceTier.java
@@ -1,21 +1,22 @@
 package gaugegw.balancer;
 
 /**
- * The order of preference among eligible endpoints, best first. Only endpoints of one tier compete by their deadlines,
- * so that a fault outweighs any difference in weight, and an endpoint is tried twice only where no other will do.
+ * Tiers of eligible endpoints, the most preferred first. Only endpoints of the same tier are compared by deadline, so
+ * that health outweighs any difference in weight. Within each condition, endpoints that the request has not tried yet
+ * come first.
  */
 enum PreferenceTier {
     HEALTHY,
     HEALTHY_ALREADY_TRIED,
     SUSPECT,
-    /** Two conditions of equal rank: a suspect endpoint that has been tried, and a failing one that has not. */
+    /** Two cases of equal rank: a suspect endpoint that was already tried, and a failing one that was not. */
     FAILING_OR_SUSPECT_ALREADY_TRIED,
     FAILING_ALREADY_TRIED;
 
     /**
      * Returns the tier of an endpoint for one request.
      *
-     * @param condition the endpoint's health for the request's flow
+     * @param condition the endpoint's condition for the request's flow
      * @param alreadyTried whether the request has had an attempt at the endpoint
      */
     static PreferenceTier of(EndpointHealth.Condition condition, boolean alreadyTried) {
