--- a/src/main/java/gaugegw/balancer/SlowStartBudget.java
+++ b/src/main/java/gaugegw/balancer/SlowStartBudget.java
@@ -24,6 +24,7 @@
         this.load = load;
     }
 
+    /** Returns whether an endpoint is in slow start. */
     boolean isWarmingUp(EndpointRecord endpoint, long nowUs) {
         return warmUpFraction(endpoint, nowUs) < FULLY_WARM;
     }
@@ -40,8 +41,8 @@
     }
 
     /**
-     * Returns the fraction of its full capacity that an endpoint has at least. It grows linearly from the initial
-     * capacity at the start of the process to 1 at the end of slow start.
+     * Returns the guaranteed fraction of an endpoint's full capacity. It grows linearly from the initial fraction, when
+     * the process starts, to 1 at the end of slow start.
      */
     private double warmUpFraction(EndpointRecord endpoint, long nowUs) {
         SafetyLimits limits = settings.safetyLimits();
@@ -54,9 +55,9 @@
     }
 
     /**
-     * Returns this proxy's estimated part of the full capacity of an endpoint, in attempts per microsecond: the
-     * throughput of endpoints of its weight to this proxy. The estimate is at least this proxy's part of one attempt at
-     * a time from all proxies together.
+     * Estimates the part of an endpoint's full capacity that this proxy may use, in attempts per microsecond. The
+     * estimate is the throughput that this proxy gets from endpoints of the same weight, but at least an equal part,
+     * among all proxies, of one request at a time.
      */
     private double capacityPerUs(EndpointRecord endpoint) {
         LatencyAverage kindAverage = endpoint.latency().kindAverage();
--- a/src/main/java/gaugegw/balancer/SlowStartTokenBucket.java
+++ b/src/main/java/gaugegw/balancer/SlowStartTokenBucket.java
@@ -10,11 +10,17 @@
 final class SlowStartTokenBucket {
     /** Fraction of a window's budget that may be used at once. The rest is granted evenly over the window. */
     private static final double BURST_FRACTION = 0.25;
-    /** The fractional parts of the multiples of this number are spread evenly for any range of consecutive proxies. */
+    /**
+     * The golden ratio minus 1. The fractional parts of its multiples are spread evenly for any range of consecutive
+     * proxy indexes.
+     */
     private static final double GOLDEN_FRACTION = (Math.sqrt(5) - 1) / 2;
 
+    /** All tokens granted since the bucket was created. */
     private double granted;
+    /** All tokens used or expired since the bucket was created. */
     private double usedOrExpired;
+
     private long grantedAtUs;
 
     /**
--- a/src/test/java/gaugegw/balancer/DrainingTest.java
+++ b/src/test/java/gaugegw/balancer/DrainingTest.java
@@ -9,11 +9,11 @@
 import gaugegw.balancer.api.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** No attempt may begin on a draining or removed endpoint. */
+/** Tests that no attempt starts at a draining or removed endpoint. */
 class DrainingTest {
     private final LoadBalancerDriver driver = new LoadBalancerDriver();
 
-    /** Work sent to an endpoint that drains or is gone would be rejected or lost. */
+    /** A request sent to an endpoint that drains or is gone would be rejected or lost. */
     @Test
     void drainingAndRemovedEndpointsGetNoAttempts() {
         driver.snapshot(endpoint("a"), endpoint("b"), endpoint("c"));
@@ -23,7 +23,7 @@
         }
     }
 
-    /** An endpoint that a complete list does not contain is gone, also without a notice of its own. */
+    /** An endpoint that is missing from a complete list is gone, even if no entry says so. */
     @Test
     void endpointMissingFromASnapshotGetsNoAttempts() {
         driver.snapshot(endpoint("a"), endpoint("b"));
@@ -33,29 +33,29 @@
         }
     }
 
-    /** All endpoints drain. Not even the last one may be used for want of a better one. */
+    /** A draining endpoint must not be used even if there is no other endpoint. */
     @Test
-    void whenAllEndpointsDrainNothingIsStarted() {
+    void onlyEndpointGetsNoAttemptsWhileItDrains() {
         driver.snapshot(endpoint("a"));
         driver.snapshot(endpointInState("a", EndpointState.DRAINING));
         String id = driver.submit(READ);
         assertThat(driver.attemptCount(id)).isZero();
     }
 
-    /** A release that drained an endpoint is undone: the endpoint is ready again and must get requests. */
+    /** A deployment that drained an endpoint is cancelled. The endpoint is ready again and must get requests. */
     @Test
-    void drainedEndpointIsUsedAgainOnceItIsReady() {
+    void drainingEndpointIsUsedAgainOnceItIsReady() {
         driver.snapshot(endpointInState("a", EndpointState.DRAINING));
         driver.delta(endpoint("a"));
         assertThat(driver.serve(READ, MILLIS)).isEqualTo("a");
     }
 
     /**
-     * One update holds both the draining and the return of an endpoint. If it were listed twice, it would get twice
-     * its share of the requests.
+     * One update contains two entries for an endpoint: draining, then ready. If the endpoint were added twice, it would
+     * get twice its share of the requests.
      */
     @Test
-    void endpointThatDrainsAndReturnsInOneUpdateIsListedOnce() {
+    void endpointThatDrainsAndReturnsInOneUpdateIsAddedOnce() {
         driver.snapshot(endpoint("a"), endpoint("b"));
         driver.delta(endpointInState("a", EndpointState.DRAINING), endpoint("a"));
         int attemptsAtA = 0;
--- a/src/test/java/gaugegw/balancer/EndpointChurnTest.java
+++ b/src/test/java/gaugegw/balancer/EndpointChurnTest.java
@@ -11,16 +11,16 @@
 import gaugegw.balancer.api.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** Endpoints that come and go all day. */
+/** Tests the state that is kept for endpoints while they are added, removed and restarted. */
 class EndpointChurnTest {
     private final LoadBalancerDriver driver = new LoadBalancerDriver();
 
     /**
-     * Each second one endpoint joins and one leaves. If anything were kept of those that have left, the memory of a
-     * proxy would grow with each endpoint that it ever knew.
+     * Each second one endpoint is added and one is removed. If state of removed endpoints were kept, the memory of a
+     * proxy would grow without bound.
      */
     @Test
-    void keepsNoStateOfEndpointsThatHaveLeft() {
+    void keepsNoStateOfRemovedEndpoints() {
         driver.snapshot(endpoint("s0"), endpoint("s1"));
         for (int i = 0; i < 5_000; i++) {
             String id = driver.submit(READ);
@@ -35,8 +35,8 @@
     }
 
     /**
-     * An endpoint fails and is avoided, then its process restarts under the same id. What was seen of the previous
-     * process says nothing about the new one: it must get requests again without waiting for the backoff to end.
+     * An endpoint is in backoff after a failure when its process restarts under the same id. The failure says nothing
+     * about the new process, which must get requests without waiting for the backoff to end.
      */
     @Test
     void restartedEndpointIsNotInBackoff() {
@@ -46,7 +46,9 @@
             String id = driver.submit(READ);
             boolean a = driver.lastAttempt(id).endpointId().equals("a");
             driver.endAttempt(id, a ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.SUCCESS, 20_000);
-            assertThat(a && failed).as("a failed and is sent to again").isFalse();
+            assertThat(a && failed)
+                    .as("endpoint a is selected again after its failure")
+                    .isFalse();
             failed |= a;
         }
         assertThat(failed).isTrue();
--- a/src/test/java/gaugegw/balancer/EndpointHealthTest.java
+++ b/src/test/java/gaugegw/balancer/EndpointHealthTest.java
@@ -15,16 +15,16 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Endpoints that fail: when they are avoided, for how long, and when not. */
+/** Tests when failing endpoints are avoided, for how long, and when they are used anyway. */
 class EndpointHealthTest {
     private final LoadBalancerDriver driver = new LoadBalancerDriver();
 
     /**
-     * One request class fails at one endpoint, all others are served there. That class must avoid the endpoint,
-     * with a growing backoff, while the other classes go on using it.
+     * One request class fails at one endpoint, which serves the other classes. Only the failing class must avoid the
+     * endpoint, with a growing backoff.
      */
     @Test
-    void requestClassThatFailsAtAnEndpointAvoidsItAlone() {
+    void onlyTheRequestClassThatFailsAvoidsTheEndpoint() {
         driver.snapshot(endpoint("a"), endpoint("b"), endpoint("c"));
         Map<String, Integer> reads = new HashMap<>();
         int failed = 0;
@@ -39,18 +39,18 @@
                 driver.endAttempt(id, AttemptOutcome.SUCCESS, 10 * MILLIS);
             }
         }
-        // Six seconds, with backoffs of 1.2, 2.4 and 4.8 s.
+        // The test lasts six seconds; the backoffs are 1.2, 2.4 and 4.8 s.
         assertThat(failed).isBetween(2, 3);
         assertThat(reads.get("a")).isGreaterThan(60);
     }
 
     /**
-     * Connections are reset now and then, whichever endpoint holds them, and a class fails often at six of ten
-     * endpoints. If a stray reset counted like a failure, the four good endpoints would seem as bad as the rest and
-     * the class would return to those that fail.
+     * A request class often fails at six of ten endpoints, and connections to all endpoints are occasionally reset. If
+     * an isolated reset counted as a failure, the four working endpoints would seem as unhealthy as the others, and the
+     * class would return to the failing endpoints.
      */
     @Test
-    void isolatedResetsDoNotReturnAClassToFailingEndpoints() {
+    void failingEndpointsStayAvoidedDespiteIsolatedResetsAtOthers() {
         driver.snapshot(endpoints(10, "b"));
         var random = new Random(1);
         var inFlight = new ArrayDeque<String>();
@@ -71,13 +71,15 @@
                             : failing ? AttemptOutcome.ERROR : AttemptOutcome.SUCCESS,
                     20 * MILLIS);
         }
-        // Ten seconds: a few failures at each of the six to detect it, and a few after each backoff: 1.2, 2.4, 4.8 s.
+        // The test lasts ten seconds. Each of the six endpoints may fail a few requests before it is detected, and a
+        // few
+        // more after each backoff of 1.2, 2.4 and 4.8 s.
         assertThat(failed).isLessThan(150);
     }
 
     /**
-     * One answer in twenty is lost on its way, whichever endpoint gave it. Backing off from an endpoint would not
-     * avoid the errors and only move its load to the others. All three endpoints stay in use.
+     * One request in twenty fails, whichever endpoint serves it. A backoff would not avoid these errors and would only
+     * shift load to the other endpoints. All three endpoints must stay in use.
      */
     @Test
     void errorsCommonToAllEndpointsCauseNoBackoff() {
@@ -102,8 +104,8 @@
     }
 
     /**
-     * A class fails at every endpoint. With all of them in backoff, nothing would be left to send to and the class
-     * would be rejected long after the fault is over. Its requests are still forwarded.
+     * A request class fails at every endpoint. If all of them were avoided, the class would be rejected long after the
+     * fault is over. Its requests must still be forwarded.
      */
     @Test
     void requestClassThatFailsEverywhereIsStillForwarded() {
@@ -117,11 +119,11 @@
     }
 
     /**
-     * Connections to one endpoint fail. Each try costs a request the time of a failed connection, so the tries must
-     * become rare.
+     * All connections to one endpoint fail. Each attempt there delays a request by the time of a failed connection, so
+     * such attempts must become rare.
      */
     @Test
-    void unreachableEndpointIsRetriedWithGrowingBackoff() {
+    void unreachableEndpointIsTriedWithGrowingBackoff() {
         driver.snapshot(endpoint("a"), endpoint("b"), endpoint("c"), endpoint("lost"));
         int attemptsAtLost = 0;
         for (int i = 0; i < 600; i++) {
@@ -133,16 +135,16 @@
             }
             driver.endAttempt(id, AttemptOutcome.SUCCESS, 10 * MILLIS);
         }
-        // Six seconds, with backoffs of 1.2, 2.4 and 4.8 s.
+        // The test lasts six seconds; the backoffs are 1.2, 2.4 and 4.8 s.
         assertThat(attemptsAtLost).isBetween(2, 3);
     }
 
     /**
-     * No endpoint can be reached: more likely this proxy is cut off than all endpoints are down. If all were in
-     * backoff, it would reject requests after the network is back. All of them are tried on.
+     * No endpoint is reachable, which is more likely a fault of this proxy's network than of all endpoints. If all of
+     * them were avoided, the proxy would still reject requests once the network is back. Endpoints must still be tried.
      */
     @Test
-    void unreachableEndpointsAreTriedIfNearlyAllAre() {
+    void endpointsAreStillTriedWhenNoneIsReachable() {
         driver.snapshot(endpoint("a"), endpoint("b"));
         for (int i = 0; i < 20; i++) {
             String id = driver.submit(VOTE);
@@ -155,8 +157,8 @@
     }
 
     /**
-     * One endpoint answers a quarter of its requests with an error. It still does useful work, so it must not stay
-     * ejected like one that always fails.
+     * One endpoint fails a quarter of its requests. It still does useful work, so it must not be avoided as long as an
+     * endpoint that always fails.
      */
     @Test
     void endpointWithOccasionalErrorsStaysInUse() {
@@ -170,16 +172,16 @@
             }
             driver.endAttempt(id, AttemptOutcome.SUCCESS, 10 * MILLIS);
         }
-        // With the longest backoff after every error it would get 17; each of the others gets 980 or more.
+        // With the longest backoff after every error it would get 17 attempts. Each other endpoint gets 980 or more.
         assertThat(attemptsAtErring).isBetween(30, 400);
     }
 
     /**
-     * A proxy of a large fleet uses one endpoint, which becomes twenty times as slow. The proxy must change to
-     * another one, and use the first again once the slow answers are forgotten.
+     * A proxy of a large fleet uses one endpoint, whose latency rises to twenty times its usual value. The proxy must
+     * switch to another endpoint, and return to the first once its slow responses have decayed.
      */
     @Test
-    void slowEndpointIsAvoidedForAWhile() {
+    void slowEndpointIsAvoidedUntilItsSlowResponsesHaveDecayed() {
         var proxy = LargeFleet.proxy(0);
         for (int i = 0; i < 300; i++) {
             proxy.serve(READ, 20 * MILLIS);
@@ -199,7 +201,7 @@
             proxy.advance(2 * SECONDS);
         }
         assertThat(proxy.serve(READ, 20 * MILLIS))
-                .as("its own answers are forgotten in time")
+                .as("endpoint selected after its slow responses have decayed")
                 .isEqualTo(slow);
     }
 }
--- a/src/test/java/gaugegw/balancer/EndpointSelectionTest.java
+++ b/src/test/java/gaugegw/balancer/EndpointSelectionTest.java
@@ -21,13 +21,13 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Earliest deadline first over the endpoints, and the weights that it goes by. */
+/** Tests the selection of endpoints by earliest deadline, and the weights behind the deadlines. */
 class EndpointSelectionTest {
     private final LoadBalancerDriver driver = new LoadBalancerDriver();
 
-    /** The deadline of an endpoint is the number of its next turn over its weight; the earliest is next. */
+    /** The endpoint with the earliest deadline, (number of attempts so far + 1) / weight, is selected. */
     @Test
-    void followsTheEarliestDeadlineOrder() {
+    void endpointWithTheEarliestDeadlineIsSelected() {
         driver.snapshot(
                 endpointBuilder("d1").kind("one").build(),
                 endpointBuilder("d2").kind("two").weight(2).build());
@@ -37,25 +37,27 @@
             order.add(driver.lastAttempt(id).endpointId());
             driver.endAttempt(id, AttemptOutcome.SUCCESS, MILLIS);
         }
-        // Deadlines 1/1 and 1/2: d2; then 1/1 and 2/2, a tie that the first listed wins; then 2/1 and 2/2: d2.
+        // Deadlines of d1 and d2: first 1/1 and 1/2, so d2; then 1/1 and 2/2, a tie that d1 wins as the first in the
+        // proxy's order; then 2/1 and 2/2, so d2.
         assertThat(order).containsExactly("d2", "d1", "d2");
     }
 
-    /** One kind of machine answers in half the time of the other. It gets twice the requests. */
+    /** One kind of machine responds in half the time of another kind and must get twice as many requests. */
     @Test
-    void fasterKindGetsMoreInProportionToItsSpeed() {
+    void kindsGetRequestsInProportionToTheirSpeed() {
         driver.snapshot(endpointOfKind("fast", "f"), endpointOfKind("slow", "s"));
         for (int i = 0; i < 200; i++) {
-            serveAtTheSpeedOfItsKind();
+            serveWithLatencyOfItsKind();
         }
-        Map<String, Integer> turns = new HashMap<>();
+        Map<String, Integer> requestsByEndpoint = new HashMap<>();
         for (int i = 0; i < 300; i++) {
-            turns.merge(serveAtTheSpeedOfItsKind(), 1, Integer::sum);
+            requestsByEndpoint.merge(serveWithLatencyOfItsKind(), 1, Integer::sum);
         }
-        assertThat(turns.get("fast") / (double) turns.get("slow")).isBetween(1.8, 2.2);
+        assertThat(requestsByEndpoint.get("fast") / (double) requestsByEndpoint.get("slow"))
+                .isBetween(1.8, 2.2);
     }
 
-    private String serveAtTheSpeedOfItsKind() {
+    private String serveWithLatencyOfItsKind() {
         String id = driver.submit(READ);
         long latency = driver.lastAttempt(id).endpointId().equals("fast") ? 10 * MILLIS : 20 * MILLIS;
         driver.nowUs += latency;
@@ -64,7 +66,7 @@
     }
 
     @Test
-    void equalEndpointsTakeTurns() {
+    void equalEndpointsAreSelectedInTurn() {
         driver.snapshot(endpoint("a"), endpoint("b"), endpoint("c"));
         var order = new ArrayList<String>();
         for (int i = 0; i < 6; i++) {
@@ -74,11 +76,11 @@
     }
 
     /**
-     * An endpoint joins after the others have had many turns. If its own count began at zero, it would get every
-     * request until it had caught up, a burst that can overload it.
+     * An endpoint is added after the others have served many requests. If its virtual time started at zero while the
+     * others kept theirs, it would get every request until it had caught up, a burst that can overload it.
      */
     @Test
-    void newEndpointDoesNotMakeUpForMissedTurns() {
+    void addedEndpointGetsNoBurstOfRequests() {
         driver.snapshot(endpoint("a"), endpoint("b"));
         for (int i = 0; i < 20; i++) {
             driver.serve(READ, MILLIS);
@@ -89,51 +91,50 @@
     }
 
     /**
-     * One endpoint answers ten times as slowly as others of its kind. With equal turns it would delay a third of
-     * all requests. It gets less than half of the requests of the others.
+     * One endpoint takes ten times as long to respond as others of its kind. With an equal share it would delay a
+     * third of all requests, so it must get less than half as many requests as another endpoint.
      */
     @Test
     void endpointSlowerThanItsKindLosesWeight() {
         driver.snapshot(endpoint("a"), endpoint("b"), endpoint("lame"));
-        Map<String, Integer> turns = new HashMap<>();
+        Map<String, Integer> requestsByEndpoint = new HashMap<>();
         for (int i = 0; i < 600; i++) {
             String id = driver.submit(READ);
             String endpointId = driver.lastAttempt(id).endpointId();
-            turns.merge(endpointId, 1, Integer::sum);
+            requestsByEndpoint.merge(endpointId, 1, Integer::sum);
             long latency = endpointId.equals("lame") ? 200 * MILLIS : 20 * MILLIS;
             driver.nowUs += latency;
             driver.endAttempt(id, AttemptOutcome.SUCCESS, latency);
         }
-        assertThat(turns.get("lame")).isLessThan(turns.get("a") / 2);
+        assertThat(requestsByEndpoint.get("lame")).isLessThan(requestsByEndpoint.get("a") / 2);
     }
 
     /**
-     * An endpoint accepts requests and never answers. Turns alone would send it every second request. It has no
-     * more in flight than its share, and the rest goes to the endpoint that answers.
+     * One of two endpoints accepts requests but never responds. By deadline alone it would get every second request.
+     * It must have no more attempts in flight than its fair share; the other requests go to the responsive endpoint.
      */
     @Test
-    void silentEndpointHasNoMoreInFlightThanItsShare() {
+    void unresponsiveEndpointHasNoMoreInFlightThanItsShare() {
         driver.snapshot(endpoint("a"), endpoint("hung"));
-        int unanswered = 0;
+        int attemptsAtHung = 0;
         for (int i = 0; i < 50; i++) {
             String id = driver.submit(READ);
             if (driver.lastAttempt(id).endpointId().equals("hung")) {
-                unanswered++;
+                attemptsAtHung++;
             } else {
                 driver.nowUs += 10 * MILLIS;
                 driver.endAttempt(id, AttemptOutcome.SUCCESS, 10 * MILLIS);
             }
         }
-        assertThat(unanswered).isEqualTo(1);
+        assertThat(attemptsAtHung).isEqualTo(1);
     }
 
     /**
-     * Endpoints serve a key that they have cached at less work, but proxies do not know of one another's requests.
-     * All proxies must choose the same endpoint for a key, whatever their seed, and another one only while
-     * that endpoint is busy.
+     * Endpoints serve a cached key with less work, but proxies do not know of each other's requests. All proxies must
+     * select the same endpoint for a key, whatever their seed, and use another endpoint only while that one is busy.
      */
     @Test
-    void keyGoesToTheEndpointThatAllProxiesChooseForIt() {
+    void allProxiesSelectTheSameEndpointForAKey() {
         var endpoints = new Endpoint[] {endpoint("a"), endpoint("b"), endpoint("c"), endpoint("d")};
         var endpointOfKey = new HashMap<String, String>();
         for (long seed = 1; seed <= 3; seed++) {
@@ -159,17 +160,17 @@
     }
 
     /**
-     * Attempts that cross zones cost more. The endpoint of the own zone gets four times the turns of an equal one
-     * in another zone; once it is busy, requests go to the other zone.
+     * Attempts that cross zones cost more. An endpoint in the proxy's own zone gets four times as many requests as an
+     * equal one in another zone. Once it is busy, requests go to the other zone.
      */
     @Test
-    void ownZoneIsPreferredWhileItHasCapacity() {
+    void endpointInTheSameZoneIsPreferredUntilItIsBusy() {
         driver.snapshot(endpointIn("far", "b", 2), endpointIn("near", "a", 1));
         int near = 0;
         for (int i = 0; i < 10; i++) {
             near += driver.serve(READ, MILLIS).equals("near") ? 1 : 0;
         }
-        assertThat(near).as("four times the turns, not all").isEqualTo(8);
+        assertThat(near).as("requests in the same zone: four of five, not all").isEqualTo(8);
         driver.submit(READ);
         driver.submit(READ);
         String third = driver.submit(READ);
@@ -181,8 +182,8 @@
     }
 
     /**
-     * Two load balancers with equal settings get equal events. Their actions are equal: nothing depends on the
-     * order of a hash table or on a clock of its own.
+     * Two load balancers with equal settings must respond to equal events with equal actions. They would differ if a
+     * decision depended on the iteration order of a hash table or on a clock.
      */
     @Test
     void equalEventsGiveEqualActions() {
--- a/src/test/java/gaugegw/balancer/IdleConnectionTest.java
+++ b/src/test/java/gaugegw/balancer/IdleConnectionTest.java
@@ -14,17 +14,18 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Idle connections to an endpoint that leaves are closed. One that stayed open would be reset when the endpoint
- * stops, under whatever request is just written to it.
+ * Tests that idle connections to a draining or removed endpoint are closed. An open connection would be reset when the
+ * endpoint stops, and a request being written to it at that time would fail.
  */
 class IdleConnectionTest {
     private final LoadBalancerDriver driver = new LoadBalancerDriver();
 
     /**
-     * Connections that are idle close when draining is notified, the one in use as soon as its attempt has ended.
+     * Idle connections must be closed when the endpoint starts to drain, and a connection in use once its attempt has
+     * ended.
      */
     @Test
-    void drainingClosesIdleConnectionsAndTheLastOneAfterItsAttempt() {
+    void drainingClosesIdleConnectionsAtOnceAndOthersAfterTheirAttempt() {
         driver.snapshot(endpoint("a"));
         String id = driver.submit(VOTE);
         assertThat(driver.delta(endpointInState("a", EndpointState.DRAINING)))
@@ -34,11 +35,11 @@
     }
 
     /**
-     * The attempt on the last connection is cancelled rather than answered. Its connection must be closed all the
-     * same.
+     * The last attempt at a draining endpoint ends by cancellation instead of a response. Its connection must be closed
+     * as well.
      */
     @Test
-    void cancelledAttemptAlsoClosesItsConnectionWhileDraining() {
+    void connectionOfACancelledAttemptIsClosedWhileDraining() {
         driver.snapshot(endpoint("a"), endpoint("b"));
         String id = driver.submit(READ);
         String endpointId = driver.lastAttempt(id).endpointId();
@@ -48,7 +49,7 @@
                 .containsExactly(new CloseIdleConnections(endpointId));
     }
 
-    /** An endpoint may leave without a notice: it is missing from the next complete list. */
+    /** An endpoint may be removed without draining first, by being missing from a complete list. */
     @Test
     void endpointMissingFromASnapshotHasItsConnectionsClosed() {
         driver.snapshot(endpoint("a"), endpoint("b"));
--- a/src/test/java/gaugegw/balancer/InvariantChecker.java
+++ b/src/test/java/gaugegw/balancer/InvariantChecker.java
@@ -18,15 +18,21 @@
 import java.util.Map;
 
 /**
- * Records every request and attempt on its own and asserts the invariants on each action: one final answer in time, no
- * duplicate effect, no attempt on an endpoint that is not ready, slow start within its budget, and nothing that the
- * settings rule out.
+ * Keeps its own record of all requests and attempts, and asserts the following invariants at each action:
+ *
+ * <ul>
+ *   <li>Each request gets exactly one final answer, in time.
+ *   <li>No request takes effect twice.
+ *   <li>No attempt starts at an endpoint that is not ready.
+ *   <li>Attempts at an endpoint in slow start stay within the budget.
+ *   <li>No action violates the limits in the settings.
+ * </ul>
  */
 final class InvariantChecker {
-    /** Answers take over 25 ms on average, so an endpoint at full capacity gives fewer than so many per second. */
-    private static final int MAX_ANSWERS_PER_SECOND = 40;
+    /** Upper bound on the capacity of a fully warm endpoint, as its mean latency is over 25 ms. */
+    private static final int MAX_RESPONSES_PER_SECOND = 40;
 
-    /** An attempt; without an outcome it is in flight. */
+    /** An attempt, which is in flight until it has an outcome. */
     static final class Attempt {
         private final Endpoint endpoint;
         private final long startedAtUs;
@@ -37,7 +43,7 @@
             this.startedAtUs = startedAtUs;
         }
 
-        /** Returns the endpoint as it was listed when the attempt started. */
+        /** Returns the endpoint's list entry at the start of the attempt. */
         Endpoint endpoint() {
             return endpoint;
         }
@@ -92,7 +98,7 @@
         return request != null && request.attempts.get(attempt).outcome == null;
     }
 
-    /** Records the end of an attempt in flight; returns whether its request is finished, by this or before. */
+    /** Records the end of an attempt in flight. Returns whether its request is finished by now. */
     boolean attemptEnded(String requestId, int attempt, AttemptOutcome outcome) {
         Request request = requests.get(requestId);
         request.attempts.get(attempt).outcome = outcome;
@@ -103,7 +109,7 @@
         return request.finished;
     }
 
-    /** Records a disconnect; returns false if the request was finished before. */
+    /** Records that the client has disconnected. Returns false if the request was already finished. */
     boolean clientDisconnected(String requestId) {
         Request request = requests.get(requestId);
         if (request == null || request.finished) {
@@ -116,12 +122,14 @@
 
     void finished(String requestId) {
         Request request = requests.get(requestId);
-        assertThat(request.finished).as("one final answer").isFalse();
+        assertThat(request.finished)
+                .as("the request already has its final answer")
+                .isFalse();
         request.finished = true;
         finalAnswers++;
     }
 
-    /** Asserts that a retry by the client, through any proxy, cannot execute the request twice. */
+    /** Records a rejection. Asserts that a retry by the client, through any proxy, cannot take effect twice. */
     void rejected(String requestId) {
         Request request = requests.get(requestId);
         for (Attempt attempt : request.attempts) {
@@ -146,16 +154,18 @@
     }
 
     /**
-     * Asserts that an attempt may start now.
+     * Records the start of an attempt and asserts that it may start now.
      *
-     * @param endpoint the endpoint as it is listed, null if it is not
+     * @param endpoint the present list entry of the endpoint, or null if there is none
      * @return the number of the attempt within its request, from 0
      */
     int attemptStarted(StartAttempt start, Endpoint endpoint, long nowUs) {
         Request request = requests.get(start.requestId());
         attemptsStarted++;
-        assertThat(request.finished).as("nothing after the final answer").isFalse();
-        assertThat(endpoint).as("an endpoint on the list").isNotNull();
+        assertThat(request.finished)
+                .as("the request already has its final answer")
+                .isFalse();
+        assertThat(endpoint).as("list entry of the endpoint").isNotNull();
         assertThat(endpoint.state()).isEqualTo(EndpointState.READY);
         assertThat(request.attempts.size()).isLessThan(settings.limits().maxAttempts());
         assertThat(start.timeoutUs()).isPositive();
@@ -172,7 +182,10 @@
         return request.attempts.size() - 1;
     }
 
-    /** Asserts that the endpoint knows the key of an earlier attempt and cannot have forgotten it when it is reached. */
+    /**
+     * Asserts that the endpoint deduplicates a repeat of an earlier attempt: it is within the scope, and the window
+     * cannot end before the repeat reaches the endpoint.
+     */
     private void checkDeduplicated(RequestClass requestClass, Attempt earlier, Endpoint endpoint, long nowUs) {
         assertThat(requestClass.idempotency()).isEqualTo(Idempotency.IDEMPOTENT_WITH_KEY);
         assertThat(nowUs + settings.limits().connectTimeoutUs())
@@ -186,14 +199,14 @@
                 .isTrue();
     }
 
-    /** Asserts that an endpoint in slow start gets no more than this proxy's part of what would overload it. */
+    /** Asserts that attempts at an endpoint in slow start stay within this proxy's part of the overload limit. */
     private void checkSlowStartBudget(Endpoint endpoint, long nowUs) {
         SafetyLimits safetyLimits = settings.safetyLimits();
         if (endpoint.startedAtUs() == 0 || nowUs - endpoint.startedAtUs() >= safetyLimits.slowStartUs()) {
             return;
         }
         List<Long> attemptTimesUs = slowStartAttempts.computeIfAbsent(
-                endpoint.id() + "@" + endpoint.startedAtUs(), process -> new ArrayList<>());
+                endpoint.id() + "@" + endpoint.startedAtUs(), key -> new ArrayList<>());
         attemptTimesUs.add(nowUs);
         long inWindow = attemptTimesUs.stream()
                 .filter(timeUs -> timeUs > nowUs - safetyLimits.overloadWindowUs())
@@ -204,18 +217,23 @@
                         / safetyLimits.slowStartUs();
         double budget = safetyLimits.overloadMultiple()
                 * capacity
-                * MAX_ANSWERS_PER_SECOND
+                * MAX_RESPONSES_PER_SECOND
                 * safetyLimits.overloadWindowUs()
                 / 1e6
                 / settings.proxyCount();
-        assertThat((double) inWindow).as("slow start budget").isLessThanOrEqualTo(Math.max(2, budget));
+        assertThat((double) inWindow)
+                .as("attempts in slow start within one overload window")
+                .isLessThanOrEqualTo(Math.max(2, budget));
     }
 
-    /** Asserts that no request is without a final answer past its deadline, and forgets those that are over. */
+    /**
+     * Asserts that no request is without a final answer three ticks after its deadline. Then removes the finished
+     * requests that have no attempts in flight.
+     */
     void checkDeadlines(long nowUs) {
         for (Request request : requests.values()) {
             assertThat(request.finished || nowUs <= request.deadlineUs + 3 * RandomEventSimulation.TICK_US)
-                    .as("answered before the client leaves")
+                    .as("final answer no later than three ticks after the deadline")
                     .isTrue();
         }
         requests.values()
--- a/src/test/java/gaugegw/balancer/LargeFleet.java
+++ b/src/test/java/gaugegw/balancer/LargeFleet.java
@@ -9,8 +9,8 @@
 import java.util.List;
 
 /**
- * A fleet with far more proxies than endpoints: 400 proxies at 60 endpoints. The share that one proxy has of all
- * attempts in flight is 3 x 60 / 400, which is less than half an attempt.
+ * A fleet with far more proxies than endpoints: 400 proxies share 60 endpoints. With three attempts in flight at each
+ * endpoint, one proxy's part of them is 3 x 60 / 400, which is less than half an attempt.
  */
 final class LargeFleet {
     static final int PROXIES = 400;
@@ -18,7 +18,7 @@
 
     private LargeFleet() {}
 
-    /** Returns one proxy of the fleet, 5 s after its start; without classes named, it serves {@code READ} alone. */
+    /** Returns one proxy of the fleet, 5 s after its start. It serves only {@code READ} if no classes are given. */
     static LoadBalancerDriver proxy(int index, RequestClass... requestClasses) {
         var driver = new LoadBalancerDriver(minimalSettings()
                 .proxy(index, PROXIES)
--- a/src/test/java/gaugegw/balancer/LargeFleetSelectionTest.java
+++ b/src/test/java/gaugegw/balancer/LargeFleetSelectionTest.java
@@ -16,14 +16,14 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** How the proxies of a fleet that is larger than its endpoints spread their requests over these. */
+/** Tests how the proxies of a large fleet spread their requests over the endpoints. */
 class LargeFleetSelectionTest {
     /**
-     * If all proxies began with the same endpoint, a stuck one would have an attempt of each of them. Twelve
-     * proxies that start six attempts each spread them evenly over 24 endpoints.
+     * If all proxies began with the same endpoint and it hung, an attempt of every proxy would hang there. Twelve
+     * proxies that start six attempts each must spread them evenly over 24 endpoints.
      */
     @Test
-    void stuckEndpointHasAttemptsOfAFewProxiesOnly() {
+    void firstAttemptsOfAllProxiesAreSpreadEvenly() {
         var endpoints = new Endpoint[24];
         var inFlight = new HashMap<String, Integer>();
         for (int i = 0; i < endpoints.length; i++) {
@@ -43,9 +43,8 @@
     }
 
     /**
-     * Each proxy sends to one endpoint at a time. Proxies must be spread evenly over the endpoints, and those that
-     * share an endpoint must not all fall back to the same next one when it is stuck, or that one would be
-     * overloaded too.
+     * Each proxy uses one endpoint at a time. The proxies must be spread evenly over the endpoints. When an endpoint
+     * hangs, the proxies that use it must not all fall back to the same endpoint, which would then be overloaded.
      */
     @Test
     void proxiesSpreadEvenlyAndFallBackToDifferentEndpoints() {
@@ -54,11 +53,11 @@
         for (int index = 0; index < 400; index++) {
             var proxy = LargeFleet.proxy(index);
             proxy.serve(READ, 20 * MILLIS);
-            String stuckEndpoint = proxy.lastAttempt(proxy.submit(READ)).endpointId();
-            proxiesByEndpoint.merge(stuckEndpoint, 1, Integer::sum);
+            String hungEndpoint = proxy.lastAttempt(proxy.submit(READ)).endpointId();
+            proxiesByEndpoint.merge(hungEndpoint, 1, Integer::sum);
             proxy.advance(300 * MILLIS);
             fallbacksByEndpoint
-                    .computeIfAbsent(stuckEndpoint, id -> new HashSet<>())
+                    .computeIfAbsent(hungEndpoint, id -> new HashSet<>())
                     .add(proxy.lastAttempt(proxy.submit(READ)).endpointId());
         }
         assertThat(proxiesByEndpoint)
@@ -70,11 +69,11 @@
     }
 
     /**
-     * The endpoint that a proxy uses is busy for a moment. Opening a connection to another endpoint costs more than
-     * the wait: the request is queued and goes to the same endpoint.
+     * The endpoint that a proxy uses is briefly busy. A connection to another endpoint would take longer than the wait,
+     * so the next request must be queued and then go to the same endpoint.
      */
     @Test
-    void requestWaitsForAnEndpointThatIsMerelyBusy() {
+    void requestWaitsForAnEndpointThatIsBrieflyBusy() {
         var proxy = LargeFleet.proxy(0);
         String usualEndpoint = proxy.serve(READ, 20 * MILLIS);
         String inFlight = proxy.submit(READ);
@@ -86,11 +85,11 @@
     }
 
     /**
-     * The endpoint that a proxy uses stays busy. A request that waited for it any longer would miss its latency
-     * objective, so after 0.4 of that objective it goes to another endpoint.
+     * The endpoint that a proxy uses stays busy. A queued request must go to another endpoint after 0.4 of its latency
+     * objective, because a longer wait would make it miss the objective.
      */
     @Test
-    void requestTurnsToTheNextEndpointInTimeForItsObjective() {
+    void requestFallsBackToAnotherEndpointInTimeForItsObjective() {
         var proxy = LargeFleet.proxy(0);
         for (int i = 0; i < 20; i++) {
             proxy.serve(READ, 200 * MILLIS);
@@ -99,7 +98,7 @@
         String inFlight = proxy.submit(READ);
         proxy.nowUs += MILLIS;
         String next = proxy.submit(READ);
-        // Its latency objective is 600 ms: 0.4 of that is 240 ms.
+        // The latency objective is 600 ms; 0.4 of it is 240 ms.
         proxy.advance(230 * MILLIS);
         assertThat(proxy.attemptCount(next)).isZero();
         proxy.advance(50 * MILLIS);
@@ -108,8 +107,8 @@
     }
 
     /**
-     * Most proxies need a single endpoint. One that has several times the load of the others must spread it, or its
-     * endpoint would be overloaded.
+     * Most proxies need only one endpoint. A proxy with several times the usual load must spread it over more endpoints
+     * to avoid overloading one.
      */
     @Test
     void busierProxyUsesMoreThanOneEndpoint() {
@@ -118,13 +117,14 @@
     }
 
     /**
-     * Counts the endpoints used, once it has settled, by a proxy that has so many requests of 100 ms in flight.
+     * Returns the number of endpoints that a proxy uses in its steady state, with the given number of requests in
+     * flight. Each request takes 100 ms.
      */
     private static long endpointsUsed(int concurrency) {
         var proxy = LargeFleet.proxy(0);
-        int actionsBefore = 0;
+        int actionsBeforeSteadyState = 0;
         for (int i = 0; i < 200; i++) {
-            actionsBefore = i == 150 ? proxy.actions.size() : actionsBefore;
+            actionsBeforeSteadyState = i == 150 ? proxy.actions.size() : actionsBeforeSteadyState;
             var requests = new ArrayList<String>();
             for (int n = 0; n < concurrency; n++) {
                 requests.add(proxy.submit(READ));
@@ -135,7 +135,7 @@
                     .forEach(id -> proxy.endAttempt(id, AttemptOutcome.SUCCESS, 100 * MILLIS));
             proxy.advance(concurrency == 1 ? 200 * MILLIS : 0);
         }
-        return proxy.actions.subList(actionsBefore, proxy.actions.size()).stream()
+        return proxy.actions.subList(actionsBeforeSteadyState, proxy.actions.size()).stream()
                 .filter(a -> a instanceof StartAttempt)
                 .map(a -> ((StartAttempt) a).endpointId())
                 .distinct()
--- a/src/test/java/gaugegw/balancer/LoadBalancerDriver.java
+++ b/src/test/java/gaugegw/balancer/LoadBalancerDriver.java
@@ -26,16 +26,16 @@
 import java.util.Set;
 
 /**
- * Takes the place of the proxy around one load balancer: a test feeds it events one by one and the driver records the
- * actions. The clock moves only when a test sets {@link #nowUs} or calls {@link #advance}.
+ * Drives one load balancer in place of the proxy: passes the events of a test to it and records its actions. The clock
+ * moves only when a test sets {@link #nowUs} or calls {@link #advance} or {@link #serve}.
  */
 final class LoadBalancerDriver {
     final EarliestDeadlineLoadBalancer balancer;
 
-    /** All actions so far, in the order emitted. */
+    /** All actions so far, in the order in which they were emitted. */
     final List<Action> actions = new ArrayList<>();
 
-    /** The clock, in microseconds. */
+    /** The current time of the simulated clock, in microseconds. */
     long nowUs = 1000 * SECONDS;
 
     private final Map<String, Integer> attemptCounts = new HashMap<>();
@@ -50,7 +50,7 @@
         this(TestSettings.settings().build());
     }
 
-    /** Feeds an event and returns the actions that it caused. */
+    /** Passes an event to the load balancer and returns the resulting actions. */
     List<Action> handle(Event event) {
         int before = actions.size();
         balancer.handle(nowUs, event, action -> {
@@ -62,39 +62,39 @@
         return List.copyOf(actions.subList(before, actions.size()));
     }
 
-    /** Feeds a complete endpoint list. */
+    /** Updates the endpoints with a complete list. */
     List<Action> snapshot(Endpoint... endpoints) {
         return handle(new EndpointUpdate(UpdateKind.SNAPSHOT, List.of(endpoints)));
     }
 
-    /** Feeds changes of the endpoint list. */
+    /** Updates the endpoints with the entries that have changed. */
     List<Action> delta(Endpoint... endpoints) {
         return handle(new EndpointUpdate(UpdateKind.DELTA, List.of(endpoints)));
     }
 
-    /** Feeds the endpoint list that the proxy had cached before its start. */
+    /** Updates the endpoints with the list that the proxy cached before its restart. */
     List<Action> cached(Endpoint... endpoints) {
         return handle(new EndpointUpdate(UpdateKind.CACHED, List.of(endpoints)));
     }
 
-    /** Feeds a failed call to discovery. */
+    /** Reports a failed call to discovery. */
     List<Action> pollFailed() {
         return handle(new EndpointUpdate(UpdateKind.POLL_FAILED, List.of()));
     }
 
-    /** Submits a request without a tenant, with all of its class's deadline ahead, and returns its id. */
+    /** Submits a request without a tenant, whose timeout is the deadline of its class, and returns its id. */
     String submit(RequestClass requestClass) {
         return submit(requestClass, null);
     }
 
-    /** Submits a request of a tenant, with all of its class's deadline ahead, and returns its id. */
+    /** Submits a request of a tenant, whose timeout is the deadline of its class, and returns its id. */
     String submit(RequestClass requestClass, String tenant) {
         String id = "r" + nextRequestNumber++;
         handle(new RequestArrived(id, requestClass.name(), tenant, null, requestClass.deadlineUs(), false));
         return id;
     }
 
-    /** Ends the latest attempt of a request; a success ends the request as well. */
+    /** Ends the latest attempt of a request. A success ends the request as well. */
     List<Action> endAttempt(String requestId, AttemptOutcome outcome, long latencyUs) {
         return handle(new AttemptEnded(
                 requestId,
@@ -105,7 +105,7 @@
                 outcome == AttemptOutcome.SUCCESS));
     }
 
-    /** Submits a request, lets time pass and answers it; returns the id of the endpoint that it was sent to. */
+    /** Submits a request that succeeds after the given latency, and returns the id of the endpoint that served it. */
     String serve(RequestClass requestClass, long latencyUs) {
         String id = submit(requestClass);
         nowUs += latencyUs;
@@ -117,7 +117,7 @@
         return handle(new TimerFired(token));
     }
 
-    /** Lets time pass: each timer fires when it is due, including those that are set meanwhile. */
+    /** Advances the clock. Each timer fires when it is due, including timers that are set in the meantime. */
     void advance(long durationUs) {
         long untilUs = nowUs + durationUs;
         for (Optional<SetTimer> due = nextTimer(untilUs); due.isPresent(); due = nextTimer(untilUs)) {
@@ -137,7 +137,7 @@
                 .min(Comparator.comparingLong(SetTimer::atUs));
     }
 
-    /** Returns the latest attempt of a request, or null if none was started. */
+    /** Returns the latest attempt of a request, or null if there is none. */
     StartAttempt lastAttempt(String requestId) {
         StartAttempt last = null;
         for (Action action : actions) {
@@ -148,12 +148,12 @@
         return last;
     }
 
-    /** Returns how many attempts of a request were started. */
+    /** Returns the number of attempts started for a request. */
     int attemptCount(String requestId) {
         return attemptCounts.getOrDefault(requestId, 0);
     }
 
-    /** Returns how many attempts of all requests were started. */
+    /** Returns the number of attempts started for all requests. */
     long startedAttempts() {
         return actions.stream().filter(action -> action instanceof StartAttempt).count();
     }
--- a/src/test/java/gaugegw/balancer/RandomEventSimulation.java
+++ b/src/test/java/gaugegw/balancer/RandomEventSimulation.java
@@ -35,15 +35,17 @@
 import java.util.Random;
 
 /**
- * Runs one load balancer for 25 simulated seconds under random settings and random legal events, of which the last 5 s
- * bring no requests. All draws come from one generator, so a seed always gives the same run.
+ * Runs one load balancer for 25 simulated seconds with random settings and random valid events. In the last 5 s no
+ * requests arrive. All random numbers come from one generator, so that a seed always gives the same run.
  */
 final class RandomEventSimulation {
     /** Time between two rounds of events, in microseconds. */
     static final long TICK_US = 4_000;
 
-    private static final long REQUESTS_FOR_US = 20_000_000;
-    private static final long WITHOUT_REQUESTS_FOR_US = 5_000_000;
+    /** Duration of the part of a run in which requests arrive, in microseconds. */
+    private static final long REQUEST_PHASE_US = 20_000_000;
+    /** Duration of the rest of a run, in microseconds. */
+    private static final long FINAL_PHASE_US = 5_000_000;
 
     private static final List<EndpointState> ENDPOINT_STATES =
             List.of(EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE);
@@ -65,7 +67,7 @@
             Comparator.comparingLong(ScheduledEvent::atUs).thenComparingLong(ScheduledEvent::order));
     private long nowUs = 5_000_000_000L;
     private long nextOrder;
-    private int arrivals;
+    private int requestCount;
 
     RandomEventSimulation(long seed) {
         random = new Random(seed);
@@ -74,8 +76,8 @@
         checker = new InvariantChecker(settings);
     }
 
-    int arrivals() {
-        return arrivals;
+    int requestCount() {
+        return requestCount;
     }
 
     int finalAnswers() {
@@ -86,7 +88,7 @@
         return checker.attemptsStarted();
     }
 
-    // The order of the draws is part of what a seed stands for.
+    // The order in which random numbers are drawn must not change, as it determines the run that a seed gives.
     private BalancerSettings randomSettings(long seed) {
         List<RequestClass> requestClasses = randomRequestClasses();
         return TestSettings.settings()
@@ -147,13 +149,13 @@
             endpoints.put(endpoint.id(), endpoint);
         }
         handle(new EndpointUpdate(UpdateKind.CACHED, List.copyOf(endpoints.values())));
-        long lastRequestsUs = nowUs + REQUESTS_FOR_US;
-        while (nowUs < lastRequestsUs + WITHOUT_REQUESTS_FOR_US) {
+        long requestPhaseEndUs = nowUs + REQUEST_PHASE_US;
+        while (nowUs < requestPhaseEndUs + FINAL_PHASE_US) {
             nowUs += TICK_US;
             while (!schedule.isEmpty() && schedule.peek().atUs() <= nowUs) {
                 deliver(schedule.poll().event());
             }
-            if (nowUs < lastRequestsUs) {
+            if (nowUs < requestPhaseEndUs) {
                 generateEvents();
             }
             checker.checkDeadlines(nowUs);
@@ -181,7 +183,7 @@
         RequestClass requestClass = settings.requestClasses()
                 .get(random.nextInt(settings.requestClasses().size()));
         long timeoutUs = (long) (requestClass.deadlineUs() * (0.2 + 0.8 * random.nextDouble()));
-        String id = "q" + arrivals++;
+        String id = "q" + requestCount++;
         checker.requestArrived(id, requestClass, nowUs + timeoutUs);
         String tenant = random.nextBoolean() ? "t" : null;
         boolean retry = random.nextInt(5) == 0;
@@ -207,7 +209,7 @@
                 .build();
     }
 
-    /** Delivers a scheduled event, unless what it is about has ended meanwhile. */
+    /** Delivers a scheduled event, unless its attempt or request has ended in the meantime. */
     private void deliver(Event event) {
         if (event instanceof AttemptEnded end) {
             if (checker.isInFlight(end.requestId(), end.attempt())) {
--- a/src/test/java/gaugegw/balancer/RandomEventsInvariantTest.java
+++ b/src/test/java/gaugegw/balancer/RandomEventsInvariantTest.java
@@ -6,8 +6,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Random legal events under random settings: endpoints come and go, attempts end in every way, clients disconnect and
- * discovery fails. Faults that need an unusual order of events would show as a broken invariant.
+ * Checks invariants of the load balancer with random valid events and random settings: endpoints are added and removed,
+ * attempts end with every outcome, clients disconnect and discovery calls fail. This finds faults that occur only with
+ * an unusual order of events.
  */
 class RandomEventsInvariantTest {
     @ParameterizedTest
@@ -15,8 +16,8 @@
     void invariantsHoldForRandomEvents(long seed) {
         var simulation = new RandomEventSimulation(seed);
         simulation.run();
-        assertThat(simulation.finalAnswers()).isEqualTo(simulation.arrivals());
-        // Without attempts the run would prove nothing; how many there are is up to the load balancer.
+        assertThat(simulation.finalAnswers()).isEqualTo(simulation.requestCount());
+        // A run with hardly any attempts would not test the invariants.
         assertThat(simulation.attemptsStarted()).isGreaterThan(50);
     }
 }
--- a/src/test/java/gaugegw/balancer/SlowStartFleet.java
+++ b/src/test/java/gaugegw/balancer/SlowStartFleetSimulation.java
@@ -32,32 +32,35 @@
 import java.util.Random;
 
 /**
- * A fleet of proxies that share endpoints on one simulated clock. At 30 s some endpoints restart and as many join; at
- * 44 s a burst begins, which lasts until slow start is over. Traffic is uneven: one proxy in five gets eight times as
- * much as each of the others. It may be low before the burst, so that a budget that piled up unused would show.
+ * Simulates a fleet of proxies that share endpoints, on one simulated clock. At 30 s some endpoints restart and as many
+ * are added. At 44 s a burst of requests begins, which lasts until slow start is over.
+ *
+ * <p>Traffic is uneven: one proxy in five gets eight times as many requests as each of the others. The load before the
+ * burst may be low, because the burst would then reveal a budget that accumulates while it is not used.
  */
-final class SlowStartFleet {
+final class SlowStartFleetSimulation {
     private static final SafetyLimits SAFETY_LIMITS =
             safetyLimits().slowStartUs(20 * SECONDS).overloadMultiple(1.5).build();
 
-    /** Mean service time at full capacity, in microseconds. An endpoint serves one request at a time. */
+    /** Mean service time of a request at full capacity, in microseconds. An endpoint serves one request at a time. */
     private static final long SERVICE_US = 100 * MILLIS;
 
-    /** An endpoint rejects what would wait longer, in microseconds. */
+    /** An endpoint rejects a request that would wait longer than this in its queue, in microseconds. */
     private static final long MAX_QUEUEING_US = 10 * SERVICE_US;
 
     private static final int MIN_ENDPOINTS = 40;
 
-    /** One endpoint in so many restarts under its id, and as many join. */
+    /** One in this many endpoints restarts under its id, and as many new endpoints are added. */
     private static final int ENDPOINTS_PER_RESTART = 8;
 
     private static final long RESTART_AT_US = 30 * SECONDS;
     private static final long BURST_AT_US = 44 * SECONDS;
     private static final long END_US = RESTART_AT_US + SAFETY_LIMITS.slowStartUs();
 
-    /** Loads as a part of what all endpoints can serve. */
+    /** Load as a fraction of the full capacity of all original endpoints. */
     private static final double LOAD_BEFORE_RESTART = 0.5;
 
+    /** Load as a fraction of the full capacity of all original endpoints. */
     private static final double LOAD_IN_BURST = 1.5;
 
     private record ScheduledTask(long atUs, long order, Runnable task) {}
@@ -65,20 +68,26 @@
     private final Random random;
     private final int endpointCount;
     private final List<EarliestDeadlineLoadBalancer> proxies = new ArrayList<>();
+    /** Cumulative request rates of the proxies, relative to one another. */
     private final double[] cumulativeTraffic;
+
     private final double loadBeforeBurst;
     private final boolean listChangesEachSecond;
     private final Map<String, Endpoint> endpoints = new HashMap<>();
+    /** When each endpoint will have served all requests that it has accepted. */
     private final Map<String, Long> freeAtUs = new HashMap<>();
+
+    /** Start times, in microseconds, of the attempts at each endpoint in slow start. */
     private final Map<String, List<Long>> slowStartAttempts = new HashMap<>();
+
     private final Map<String, Integer> attemptCounts = new HashMap<>();
     private final PriorityQueue<ScheduledTask> schedule =
             new PriorityQueue<>(Comparator.comparingLong(ScheduledTask::atUs).thenComparingLong(ScheduledTask::order));
     private long nowUs;
     private long nextOrder;
-    private double worstBoundUse;
+    private double maxBoundUtilization;
 
-    SlowStartFleet(int proxyCount, long seed, double loadBeforeBurst, boolean listChangesEachSecond) {
+    SlowStartFleetSimulation(int proxyCount, long seed, double loadBeforeBurst, boolean listChangesEachSecond) {
         this.random = new Random(seed);
         this.endpointCount = Math.max(MIN_ENDPOINTS, proxyCount / 2);
         this.loadBeforeBurst = loadBeforeBurst;
@@ -166,7 +175,7 @@
         }
     }
 
-    /** Lets an endpoint serve one request after the other, and reject what would wait too long. */
+    /** Simulates an attempt at its endpoint, which queues the request or rejects it if it would wait too long. */
     private void serve(int index, StartAttempt start) {
         Endpoint endpoint = endpoints.get(start.endpointId());
         recordSlowStartAttempt(endpoint);
@@ -188,17 +197,17 @@
         schedule(nowUs + latencyUs, () -> handle(index, end));
     }
 
-    /** Returns the capacity of an endpoint now, as a part of its full capacity. */
+    /** Returns the present capacity of an endpoint, as a fraction of its full capacity. */
     private double capacity(Endpoint endpoint) {
         return endpoint.startedAtUs() == 0 ? 1 : capacityAfter(nowUs - endpoint.startedAtUs());
     }
 
-    private static double capacityAfter(long upUs) {
+    private static double capacityAfter(long uptimeUs) {
         return SAFETY_LIMITS.initialCapacityFraction()
-                + (1 - SAFETY_LIMITS.initialCapacityFraction()) * upUs / SAFETY_LIMITS.slowStartUs();
+                + (1 - SAFETY_LIMITS.initialCapacityFraction()) * uptimeUs / SAFETY_LIMITS.slowStartUs();
     }
 
-    /** Returns how many attempts within the overload window an endpoint can take now. */
+    /** Returns the number of attempts within an overload window that would make an endpoint fail now. */
     private double budget(Endpoint endpoint) {
         return SAFETY_LIMITS.overloadMultiple() * capacity(endpoint) * SAFETY_LIMITS.overloadWindowUs() / SERVICE_US;
     }
@@ -212,27 +221,31 @@
         long inWindow = attemptTimesUs.stream()
                 .filter(timeUs -> timeUs > nowUs - SAFETY_LIMITS.overloadWindowUs())
                 .count();
-        // The proxies' budgets add up by chance: two standard deviations above the budget, and two more, are allowed.
+        // The attempts of independent proxies add up randomly, so the bound is the budget plus two standard deviations,
+        // plus two.
         double budget = budget(endpoint);
-        worstBoundUse = Math.max(worstBoundUse, inWindow / (budget + 2 * Math.sqrt(budget) + 2));
+        maxBoundUtilization = Math.max(maxBoundUtilization, inWindow / (budget + 2 * Math.sqrt(budget) + 2));
     }
 
-    /** Returns the most attempts that an endpoint got within an overload window, as a part of what is allowed. */
-    double worstBoundUse() {
-        return worstBoundUse;
+    /** Returns the most attempts that an endpoint got within an overload window, as a fraction of the bound then. */
+    double maxBoundUtilization() {
+        return maxBoundUtilization;
     }
 
-    /** Returns what the restarted endpoints got during the burst, as a part of their budget halfway through it. */
-    double meanBudgetUse() {
+    /**
+     * Returns the attempts that the endpoints in slow start got during the burst, as a fraction of their budget. The
+     * budget is computed with their capacity halfway through the burst.
+     */
+    double meanBudgetUtilization() {
         long attempts = slowStartAttempts.values().stream()
                 .mapToLong(timesUs ->
                         timesUs.stream().filter(timeUs -> timeUs >= BURST_AT_US).count())
                 .sum();
         long halfwayUs = (BURST_AT_US + END_US) / 2;
         double capacity = capacityAfter(halfwayUs - RESTART_AT_US);
-        int restarted = 2 * (endpointCount / ENDPOINTS_PER_RESTART);
+        int endpointsInSlowStart = 2 * (endpointCount / ENDPOINTS_PER_RESTART);
         return attempts
                 * SERVICE_US
-                / (restarted * SAFETY_LIMITS.overloadMultiple() * capacity * (END_US - BURST_AT_US));
+                / (endpointsInSlowStart * SAFETY_LIMITS.overloadMultiple() * capacity * (END_US - BURST_AT_US));
     }
 }
--- a/src/test/java/gaugegw/balancer/SlowStartFleetTest.java
+++ b/src/test/java/gaugegw/balancer/SlowStartFleetTest.java
@@ -6,8 +6,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Endpoints restart under load while a whole fleet sends to them. Each proxy keeps a slow start budget of its own and
- * does not know what the others send: together they may overload the endpoint, or leave it idle.
+ * Tests slow start with a whole fleet of proxies while endpoints restart under load. Each proxy has its own slow start
+ * budget and does not know how much the others send, so together they could overload an endpoint or leave it idle.
  */
 class SlowStartFleetTest {
     @ParameterizedTest
@@ -24,15 +24,15 @@
         "400, 8, 0.05, false",
         "400, 9, 0.5, true"
     })
-    void fleetStaysWithinTheSlowStartBudgetAndUsesAFairPart(
+    void fleetStaysWithinTheSlowStartBudgetAndUsesAFairShareOfIt(
             int proxies, long seed, double loadBeforeBurst, boolean listChangesEachSecond) {
-        var fleet = new SlowStartFleet(proxies, seed, loadBeforeBurst, listChangesEachSecond);
+        var fleet = new SlowStartFleetSimulation(proxies, seed, loadBeforeBurst, listChangesEachSecond);
         fleet.run();
-        assertThat(fleet.worstBoundUse())
-                .as("most in a window, as a part of the bound")
+        assertThat(fleet.maxBoundUtilization())
+                .as("most attempts in a window, as a fraction of the bound")
                 .isLessThanOrEqualTo(1);
-        assertThat(fleet.meanBudgetUse())
-                .as("sent during the burst, as a part of the budget")
+        assertThat(fleet.meanBudgetUtilization())
+                .as("attempts during the burst, as a fraction of the budget")
                 .isBetween(0.1, 1.0);
     }
 }
--- a/src/test/java/gaugegw/balancer/SlowStartTest.java
+++ b/src/test/java/gaugegw/balancer/SlowStartTest.java
@@ -15,21 +15,24 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * An endpoint that has just started serves a part of its capacity and fails for good if it is overloaded meanwhile:
- * the attempts sent to it stay within a budget.
+ * Tests the budget of attempts at an endpoint in slow start. Such an endpoint has only a part of its capacity, and an
+ * overload makes it fail permanently.
  */
 class SlowStartTest {
-    /** One second of an endpoint at 40% or a little more that takes 50 ms for a request, times the overload multiple. */
+    /**
+     * Upper bound on the attempts in one second: the number of requests of 50 ms each that an endpoint serves in that
+     * time at slightly more than 40% of its capacity, multiplied by the overload multiple.
+     */
     private static final int MAX_ATTEMPTS = 36;
 
     private final LoadBalancerDriver driver = new LoadBalancerDriver();
 
     /**
-     * The endpoint that starts is the only one left. All traffic would go to it and overload it; it must get no
-     * more than its budget.
+     * The endpoint in slow start is the only one left. The whole traffic would overload it, so it must get no more
+     * attempts than its budget.
      */
     @Test
-    void attemptsStayWithinTheBudgetWithoutOtherEndpoints() {
+    void onlyEndpointGetsNoMoreThanItsBudget() {
         driver.snapshot(endpoint("warm"));
         for (int i = 0; i < 300; i++) {
             driver.serve(READ, 50 * MILLIS);
@@ -38,8 +41,7 @@
     }
 
     /**
-     * The endpoint rejects what it is sent. Rejected work is a load as well, so retries must not go beyond the
-     * budget.
+     * The endpoint rejects every attempt. Rejected attempts are load as well, so retries must stay within the budget.
      */
     @Test
     void retriesCountTowardsTheBudget() {
@@ -68,34 +70,35 @@
     }
 
     /**
-     * The capacity of the new endpoint is not known. A budget of one request at a time would leave it idle where
-     * many proxies share it. The budget follows what endpoints of its kind answer to this proxy.
+     * The capacity of a new endpoint is unknown. A budget of one request at a time, divided among many proxies, would
+     * leave it almost idle. The budget must therefore follow the throughput of similar endpoints for this proxy.
      */
     @Test
     void budgetFollowsTheThroughputOfSimilarEndpoints() {
-        var oneOfNine = new LoadBalancerDriver(minimalSettings().proxy(3, 9).build());
+        var proxyOfNine = new LoadBalancerDriver(minimalSettings().proxy(3, 9).build());
         Endpoint[] endpoints = endpoints(4, "s");
-        oneOfNine.snapshot(endpoints);
+        proxyOfNine.snapshot(endpoints);
         for (int i = 0; i < 3000; i++) {
-            oneOfNine.serve(READ, 10 * MILLIS);
+            proxyOfNine.serve(READ, 10 * MILLIS);
         }
-        endpoints[3] = endpointStartedAt("s3", oneOfNine.nowUs);
-        oneOfNine.snapshot(endpoints);
+        endpoints[3] = endpointStartedAt("s3", proxyOfNine.nowUs);
+        proxyOfNine.snapshot(endpoints);
         int attemptsAtCold = 0;
         for (int i = 0; i < 200; i++) {
-            attemptsAtCold += oneOfNine.serve(READ, 10 * MILLIS).equals("s3") ? 1 : 0;
+            attemptsAtCold += proxyOfNine.serve(READ, 10 * MILLIS).equals("s3") ? 1 : 0;
         }
-        // Similar endpoints serve 25 per second for this proxy; for two seconds, at 40% to 55% of that, the budget is
-        // 0.4 of 4 times as much.
+        // Similar endpoints serve 25 requests per second for this proxy. In the two seconds of the test, the new
+        // endpoint
+        // has 40% to 55% of that capacity. The budget is 0.4 times the overload multiple of 4 times that.
         assertThat(attemptsAtCold).isBetween(15, 44);
     }
 
     /**
-     * An endpoint restarts under the id that it had. What it served before says nothing about the new process,
-     * which is as easily overloaded as a new endpoint.
+     * An endpoint restarts under the same id. The requests that the old process served say nothing about the new one,
+     * which is overloaded as easily as a new endpoint.
      */
     @Test
-    void restartedEndpointStartsSlowlyAgain() {
+    void restartedEndpointIsInSlowStartAgain() {
         driver.snapshot(endpoint("a"));
         for (int i = 0; i < 100; i++) {
             driver.serve(READ, 50 * MILLIS);
@@ -112,7 +115,7 @@
         assertThat(attempts).isLessThan(20);
     }
 
-    /** The budget ends with slow start: after that the endpoint gets every request. */
+    /** After slow start there is no budget any more, so the only endpoint gets every request. */
     @Test
     void endpointGetsAllTrafficAfterSlowStart() {
         driver.snapshot(endpointStartedAt("a", driver.nowUs - SAFETY_LIMITS.slowStartUs()));
@@ -124,11 +127,11 @@
     }
 
     /**
-     * Each of 400 proxies keeps a budget of its own and none knows what the others send. Together they must neither
+     * Each of 400 proxies has its own budget and does not know how much the others send. Together they must neither
      * overload the new endpoint nor leave it idle.
      */
     @Test
-    void largeFleetTogetherStaysWithinTheBudget() {
+    void allProxiesOfALargeFleetTogetherStayWithinTheBudget() {
         int attemptsAtNew = 0;
         for (int index = 0; index < 400; index++) {
             var proxy = LargeFleet.proxy(index);
@@ -143,8 +146,8 @@
                 proxy.advance(170 * MILLIS);
             }
         }
-        // All proxies together send 33 requests per second to each of 60 endpoints. In its first 5 s a new one has at
-        // least 40% of that capacity and may get up to 4 times as much.
+        // All proxies together send 33 requests per second to each of the 60 endpoints. During its first 5 s, a new
+        // endpoint has at least 40% of that capacity and fails only at 4 times that load.
         assertThat(attemptsAtNew).isBetween(5 * 33 * 4 / 10 / 2, 5 * 33 * 4 / 10 * 3);
     }
 }
