--- a/src/main/java/gaugegw/settings/InvalidSettingException.java
+++ b/src/main/java/gaugegw/settings/InvalidSettingException.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** A setting that is missing or has a value that cannot be used. The message is for operators and names the setting. */
+/** Thrown when a setting is missing or has an invalid value. The message is for operators and names the setting. */
 public final class InvalidSettingException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
@@ -36,12 +36,12 @@
         return path;
     }
 
-    /** Returns the value found, empty if the setting is missing. */
+    /** Returns the invalid value, or empty if the setting is missing. */
     public Optional<String> value() {
         return Optional.ofNullable(value);
     }
 
-    /** Returns what the setting must be, such as "a whole number". */
+    /** Returns a description of the values that are allowed, such as "a whole number". */
     public String expected() {
         return expected;
     }
--- a/src/main/java/gaugegw/settings/SettingNames.java
+++ b/src/main/java/gaugegw/settings/SettingNames.java
@@ -1,11 +1,12 @@
 package gaugegw.settings;
 
 /**
- * The names that deployments use for settings, each mapped to the term that the code uses. They appear nowhere else.
- * Durations are in microseconds.
+ * The names of settings as deployments write them. Each constant is named by the term that the code uses for the
+ * setting. Apart from this class, these names appear only in the messages of the checks in {@code
+ * gaugegw.balancer.api}. Durations are in microseconds.
  */
 final class SettingNames {
-    // The proxy and its fleet.
+    // The proxy and the fleet that it belongs to.
     static final String PROXY_COUNT = "balancers";
     static final String PROXY_INDEX = "rank";
     static final String ZONE = "locality";
@@ -13,7 +14,7 @@
     static final String DISCOVERY_MODE = "registry_mode";
     static final String CACHE_AFFINITY = "extra.warm_keys";
 
-    // Request classes, a list.
+    // The list of request classes; the names below it are those of an item.
     static final String REQUEST_CLASSES = "profiles";
     static final String CLASS_NAME = "name";
     static final String LATENCY_OBJECTIVE_US = "aim_us";
@@ -24,13 +25,13 @@
     static final String DEDUPLICATION_SCOPE = "key_scope";
     static final String DEDUPLICATION_WINDOW_US = "window_us";
 
-    // Tenants, a list that may be missing.
+    // The list of tenants, which may be missing, and the settings of an item; then a factor for all tenants.
     static final String TENANTS = "projects";
     static final String TENANT_NAME = "name";
     static final String QUOTA_PER_SECOND = "allowance_per_s";
     static final String OVER_QUOTA_WEIGHT_FRACTION = "over_share_worth";
 
-    // Limits of what the proxy may do.
+    // What the proxy is permitted to do.
     static final String CANCELLATION = "bounds.cancel";
     static final String HEDGING = "bounds.may_duplicate";
     static final String HEALTH_CHECKS = "bounds.probes";
@@ -40,7 +41,7 @@
     static final String CONNECT_TIMEOUT_US = "bounds.connect_timeout_us";
     static final String BACKEND_IDLE_TIMEOUT_US = "bounds.conn_idle_us";
 
-    // Safety limits.
+    // Limits that protect endpoints and keep the endpoint list up to date.
     static final String INITIAL_CAPACITY = "invariants.cold_from";
     static final String SLOW_START_US = "invariants.cold_us";
     static final String OVERLOAD_MULTIPLE = "invariants.fall_multiple";
--- a/src/main/java/gaugegw/settings/SettingsReader.java
+++ b/src/main/java/gaugegw/settings/SettingsReader.java
@@ -11,11 +11,11 @@
 import java.util.Map;
 
 /**
- * Reads the settings of a load balancer from the names and values that deployments use. These are the same on the
- * simulator's wire and in a proxy's configuration, and are mapped here once for both.
+ * Converts settings from the names and values that deployments write into the settings of a load balancer. The
+ * simulator and the configuration of a proxy use the same names and values.
  *
- * <p>All methods throw {@link InvalidSettingException} for a setting that is missing or has a value of the wrong type,
- * and another {@link IllegalArgumentException} for a value outside its range; either message names the setting.
+ * <p>All methods throw {@link InvalidSettingException} if a setting is missing or its value is of the wrong type, and
+ * another {@link IllegalArgumentException} if its value is out of range. Both messages name the setting.
  */
 public final class SettingsReader {
     private static final Map<String, Idempotency> IDEMPOTENCY = Map.of(
@@ -28,7 +28,7 @@
             "zone", DeduplicationScope.ZONE,
             "cell", DeduplicationScope.CELL);
 
-    /** Whether the endpoint list has to be polled, by the mode of discovery. */
+    /** By the mode of discovery, whether updates of the endpoint list arrive only on request. */
     private static final Map<String, Boolean> DISCOVERY_MODES = Map.of("pushed", false, "on_request", true);
 
     private SettingsReader() {}
@@ -36,7 +36,7 @@
     /**
      * Reads the settings of a load balancer.
      *
-     * @param seed the seed of its random numbers
+     * @param seed the seed of the load balancer's random numbers
      */
     public static BalancerSettings read(SettingsTree settings, long seed) {
         List<RequestClass> requestClasses = settings.items(SettingNames.REQUEST_CLASSES, SettingsReader::requestClass);
@@ -57,12 +57,12 @@
                 seed);
     }
 
-    /** Reads after how long without a request a backend closes a connection, in microseconds. */
+    /** Reads the time after which a backend closes an idle connection, in microseconds. */
     public static long backendIdleTimeoutUs(SettingsTree settings) {
         return settings.longValue(SettingNames.BACKEND_IDLE_TIMEOUT_US);
     }
 
-    /** Reads how long a connection may take to come up, in microseconds. */
+    /** Reads the longest time that establishing a connection may take, in microseconds. */
     public static long connectTimeoutUs(SettingsTree settings) {
         return settings.longValue(SettingNames.CONNECT_TIMEOUT_US);
     }
@@ -98,7 +98,7 @@
                 settings.longValue(SettingNames.CONNECT_TIMEOUT_US));
     }
 
-    /** Returns 0 where a rejection may not carry Retry-After. */
+    /** Returns the longest Retry-After in microseconds, or 0 if a rejection must not carry one. */
     private static long maxRetryAfterUs(SettingsTree settings) {
         boolean allowed = settings.booleanValueOr(SettingNames.RETRY_AFTER, true);
         return allowed ? settings.longValue(SettingNames.MAX_RETRY_AFTER_US) : 0;
--- a/src/main/java/gaugegw/settings/SettingsTree.java
+++ b/src/main/java/gaugegw/settings/SettingsTree.java
@@ -8,11 +8,12 @@
 import java.util.function.Function;
 
 /**
- * Settings by their paths, such as {@code bounds.cancel}. An item of a list has its index in the path, from 0, and the
- * list has its length at {@code .count}: {@code profiles.count}, {@code profiles.0.name}. Settings that nobody reads are
- * allowed, so that a deployment may have settings that this version does not know. Immutable.
+ * An immutable map from the paths of settings, such as {@code bounds.cancel}, to their values. The path of a list item
+ * contains its index, from 0, and the length of a list is at {@code .count}: {@code profiles.0.name}, {@code
+ * profiles.count}. Settings that are never read are ignored, so that a deployment may contain settings that this
+ * version does not know.
  *
- * <p>The getters throw {@link InvalidSettingException} for a setting that is missing, empty, or of the wrong type.
+ * <p>The getters throw {@link InvalidSettingException} if a setting is missing, empty, or of the wrong type.
  */
 public final class SettingsTree {
     private static final String COUNT = ".count";
@@ -21,7 +22,7 @@
 
     private final Map<String, String> values;
 
-    /** The path of this tree within the settings, empty or with a dot at its end. */
+    /** The path of this tree from the root, ending with a dot, or empty for the root. */
     private final String prefix;
 
     private SettingsTree(Map<String, String> values, String prefix) {
@@ -33,13 +34,13 @@
         return new Builder();
     }
 
-    /** Returns whether there is a value at a path, possibly an empty one. */
+    /** Returns whether there is a value at a path, even if it is empty. */
     public boolean has(String path) {
         return values.containsKey(prefix + path);
     }
 
     public String text(String path) {
-        return text(path, "a text");
+        return text(path, "a string");
     }
 
     private String text(String path, String expected) {
@@ -50,27 +51,29 @@
         return value;
     }
 
-    /** Returns a finite number. */
+    /** Returns the value of a setting that must be a finite number. */
     public double doubleValue(String path) {
-        return finite(path, "a number");
+        return finiteNumber(path, "a number");
     }
 
-    /** Returns a whole number. It may be written as a decimal, as {@code 4.0}. */
+    /**
+     * Returns the value of a setting that must be a whole number. It may be written with decimals, as in {@code 4.0}.
+     */
     public long longValue(String path) {
         String expected = "a whole number";
-        double value = finite(path, expected);
+        double value = finiteNumber(path, expected);
         if (value != Math.rint(value)) {
             throw InvalidSettingException.badNumber(prefix + path, text(path, expected), expected);
         }
         return (long) value;
     }
 
-    /** As {@link #longValue}. A number beyond 32 bits is not refused: only its low 32 bits are returned. */
+    /** As {@link #longValue}, but returns only the low 32 bits. A number that needs more bits is not an error. */
     public int intValue(String path) {
         return (int) longValue(path);
     }
 
-    private double finite(String path, String expected) {
+    private double finiteNumber(String path, String expected) {
         String text = text(path, expected);
         double value;
         try {
@@ -84,41 +87,41 @@
         return value;
     }
 
-    /** Returns a truth value: {@code true} or {@code 1}, {@code false} or {@code 0}. */
+    /** Returns the value of a setting that must be {@code true} or {@code 1}, or {@code false} or {@code 0}. */
     public boolean booleanValue(String path) {
         return oneOf(path, BOOLEANS);
     }
 
-    /** As {@link #booleanValue}, with a value for a missing setting. */
-    public boolean booleanValueOr(String path, boolean ifMissing) {
-        return has(path) ? booleanValue(path) : ifMissing;
+    /** As {@link #booleanValue}, but returns a default if the setting is missing. */
+    public boolean booleanValueOr(String path, boolean defaultValue) {
+        return has(path) ? booleanValue(path) : defaultValue;
     }
 
     /**
      * Returns what the value of a setting stands for.
      *
-     * @param meanings all values that the setting may have
+     * @param meanings the allowed values, each with what it stands for
      */
     public <T> T oneOf(String path, Map<String, T> meanings) {
         String value = values.get(prefix + path);
         if (value == null || value.isEmpty()) {
-            throw InvalidSettingException.missing(prefix + path, oneOf(meanings));
+            throw InvalidSettingException.missing(prefix + path, describeAllowed(meanings));
         }
         T meaning = meanings.get(value);
         if (meaning == null) {
-            throw InvalidSettingException.unknownValue(prefix + path, value, oneOf(meanings));
+            throw InvalidSettingException.unknownValue(prefix + path, value, describeAllowed(meanings));
         }
         return meaning;
     }
 
-    private static String oneOf(Map<String, ?> meanings) {
+    private static String describeAllowed(Map<String, ?> meanings) {
         return "one of " + new TreeSet<>(meanings.keySet());
     }
 
     /**
-     * Reads the items of a list one after the other, in its order.
+     * Reads the items of a list, in order.
      *
-     * @param reader reads one item from the tree of its own settings
+     * @param reader reads one item from a tree whose paths are relative to the item
      */
     public <T> List<T> items(String path, Function<SettingsTree, T> reader) {
         long count = longValue(path + COUNT);
@@ -129,18 +132,18 @@
         return items;
     }
 
-    /** As {@link #items}, with no items where the list is missing. */
+    /** As {@link #items}, but returns an empty list if the list is missing. */
     public <T> List<T> itemsIfPresent(String path, Function<SettingsTree, T> reader) {
         return has(path + COUNT) ? items(path, reader) : List.of();
     }
 
-    /** Collects settings; a later value of a path replaces an earlier one. */
+    /** Builds a tree. A later value for a path replaces an earlier one. */
     public static final class Builder {
         private final Map<String, String> values = new HashMap<>();
 
         private Builder() {}
 
-        /** Adds a value at its path from the root. */
+        /** Adds a value at a path from the root. */
         public Builder put(String path, String value) {
             values.put(path, value);
             return this;
