--- a/src/main/java/gaugegw/balancer/api/Action.java
+++ b/src/main/java/gaugegw/balancer/api/Action.java
@@ -1,37 +1,37 @@
 package gaugegw.balancer.api;
 
 /**
- * Something that the proxy is to do. Each request gets exactly one final answer: the first successful attempt, which the
- * proxy forwards by itself, or a {@link Reject} or {@link Fail}.
+ * An instruction to the proxy. Each request gets exactly one final answer: the response of its first successful
+ * attempt, which the proxy forwards without an action, or else a {@link Reject} or a {@link Fail}.
  */
 public sealed interface Action {
     /**
-     * Start an attempt of a request. The attempts of a request are numbered from 0 in the order started, and each ends
-     * with one {@link Event.AttemptEnded}.
+     * Starts an attempt of a request. The attempts of a request are numbered from 0 in the order in which they start,
+     * and each ends with one {@link Event.AttemptEnded}.
      *
-     * @param requestId the request, as named by its {@link Event.RequestArrived}
-     * @param endpointId the endpoint, as named by the endpoint list
-     * @param timeoutUs the attempt's time-out in microseconds; cut to the client's own time-out where that is sooner
+     * @param requestId the id from the {@link Event.RequestArrived} of the request
+     * @param endpointId the id from the endpoint list
+     * @param timeoutUs the timeout of the attempt, in microseconds; the client's timeout applies if it expires earlier
      */
     record StartAttempt(String requestId, String endpointId, long timeoutUs) implements Action {}
 
     /**
-     * Final answer: rejected, and a retry by the client is harmless.
+     * Sends the final answer of a request: it is rejected, and a retry by the client is harmless.
      *
      * @param requestId the request that is answered
-     * @param retryAfterUs how long the client should wait before a retry, in microseconds; 0 gives no advice
+     * @param retryAfterUs how long the client should wait before a retry, in microseconds; 0 for no advice
      */
     record Reject(String requestId, long retryAfterUs) implements Action {}
 
     /**
-     * Final answer: failed. The request may have taken effect.
+     * Sends the final answer of a request: it has failed, and may have taken effect.
      *
      * @param requestId the request that is answered
      */
     record Fail(String requestId) implements Action {}
 
     /**
-     * Stop waiting for an attempt. It still ends with one {@link Event.AttemptEnded}.
+     * Cancels an attempt. It still ends with one {@link Event.AttemptEnded}.
      *
      * @param requestId the request of the attempt
      * @param attempt number of the attempt, from 0
@@ -39,39 +39,39 @@
     record CancelAttempt(String requestId, int attempt) implements Action {}
 
     /**
-     * Close the idle connections to an endpoint.
+     * Closes the idle connections to an endpoint.
      *
-     * @param endpointId the endpoint, which may have left the list
+     * @param endpointId the endpoint, which may no longer be in the endpoint list
      */
     record CloseIdleConnections(String endpointId) implements Action {}
 
     /**
-     * Deliver a {@link Event.TimerFired}. Timers cannot be cancelled.
+     * Sets a timer, which causes one {@link Event.TimerFired}. Timers cannot be cancelled.
      *
-     * @param atUs when the timer is due, on the proxy's clock in microseconds
-     * @param token returned with the event
+     * @param atUs when the timer fires, on the proxy's clock in microseconds
+     * @param token identifies the purpose of the timer; returned with the event
      */
     record SetTimer(long atUs, String token) implements Action {}
 
     /**
-     * Check the health of an endpoint; ends with one {@link Event.HealthCheckEnded}.
+     * Checks the health of an endpoint. The check ends with one {@link Event.HealthCheckEnded}.
      *
      * @param endpointId the endpoint to check
      */
     record CheckHealth(String endpointId) implements Action {}
 
     /**
-     * Begin or end a watch of the endpoint list. The call may fail, see {@link UpdateKind#POLL_FAILED}.
+     * Begins or ends a watch of the endpoint list. The call may fail, see {@link UpdateKind#POLL_FAILED}.
      *
-     * @param enabled whether changes are to be delivered from now on
+     * @param enabled whether changes of the list are to be delivered from now on
      */
     record WatchEndpoints(boolean enabled) implements Action {}
 
-    /** Fetch the complete endpoint list once. The call may fail, see {@link UpdateKind#POLL_FAILED}. */
+    /** Fetches the complete endpoint list once. The call may fail, see {@link UpdateKind#POLL_FAILED}. */
     record FetchEndpoints() implements Action {}
 
     /**
-     * Write a line to the proxy's log.
+     * Writes a line to the proxy's log.
      *
      * @param text the line, without a line break
      */
--- a/src/main/java/gaugegw/balancer/api/AttemptOutcome.java
+++ b/src/main/java/gaugegw/balancer/api/AttemptOutcome.java
@@ -2,13 +2,13 @@
 
 /** How an attempt ended. */
 public enum AttemptOutcome {
-    /** The endpoint answered the request. */
+    /** The endpoint answered the request successfully. */
     SUCCESS(false),
     /** The endpoint answered with an error. */
     ERROR(false),
-    /** The endpoint rejected the request without examining it: its queue is full, or it drains. */
+    /** The endpoint rejected the request unread, because its queue is full or because it drains. */
     REJECTED(true),
-    /** No answer arrived within the time-out. */
+    /** No answer arrived within the timeout of the attempt. */
     TIMEOUT(false),
     /** No connection could be established in time. */
     CONNECT_FAILED(true),
@@ -16,7 +16,7 @@
     RESET(false),
     /** The attempt was cancelled by {@link Action.CancelAttempt}. */
     CANCELLED(false),
-    /** The attempt was never sent, as its request had ended or all attempts permitted were used up. */
+    /** The attempt was not sent, because its request had ended or had used up the attempts that are permitted. */
     NOT_SENT(true);
 
     private final boolean provesNotExecuted;
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Returns whether this outcome proves that the endpoint did not execute the request. For {@link #REJECTED}, this
-     * holds only without {@link SafetyLimits#rejectedMayHaveExecuted}.
+     * Returns whether this outcome proves that the endpoint did not execute the request. {@link #REJECTED} does not
+     * prove it if {@link SafetyLimits#rejectedMayHaveExecuted} is set.
      */
     public boolean provesNotExecuted() {
         return provesNotExecuted;
--- a/src/main/java/gaugegw/balancer/api/BalancerSettings.java
+++ b/src/main/java/gaugegw/balancer/api/BalancerSettings.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * The settings of one instance, fixed for its lifetime.
+ * The settings of one load balancer. They do not change during its lifetime.
  *
  * @param proxyCount number of proxies that share the endpoints
- * @param proxyIndex number of this proxy among them, from 0
- * @param zone the zone this proxy runs in
- * @param minEventIntervalUs the least time between two rounds of events, in microseconds
- * @param requestClasses the classes of request, at least one
- * @param tenants the tenants with a quota; may be empty
- * @param overQuotaWeightFraction part of the priority weight, from 0 to 1, of a request over its tenant's quota
- * @param cacheAffinity whether endpoints answer a key that they have cached with less work
- * @param limits what the proxy may do
- * @param safetyLimits the limits that protect endpoints and the endpoint list's timeliness
+ * @param proxyIndex index of this proxy among them, from 0
+ * @param zone the zone that this proxy runs in
+ * @param minEventIntervalUs the shortest time between two rounds of events, in microseconds
+ * @param requestClasses the request classes, at least one
+ * @param tenants the tenants that have a quota; may be empty
+ * @param overQuotaWeightFraction fraction of its priority weight, from 0 to 1, that a request over quota keeps
+ * @param cacheAffinity whether a request takes less work at an endpoint that has its key cached
+ * @param limits what the proxy is permitted to do
+ * @param safetyLimits limits that protect endpoints that have just started, and keep the endpoint list up to date
  * @param seed the seed of all random numbers
  */
 public record BalancerSettings(
@@ -32,25 +32,33 @@
     /**
      * Checks the components.
      *
-     * @throws IllegalArgumentException if one makes no sense; the message names the setting
+     * @throws IllegalArgumentException if a component is missing or out of range; the message names the setting as
+     *     deployments write it
      */
     public BalancerSettings {
-        require(proxyCount >= 1, "balancers");
-        require(proxyIndex >= 0, "rank");
-        require(zone != null, "zone");
-        require(minEventIntervalUs >= 0, "tick");
-        require(requestClasses != null && !requestClasses.isEmpty(), "classes");
-        require(tenants != null, "tenants");
-        require(overQuotaWeightFraction >= 0 && overQuotaWeightFraction <= 1, "over-share worth");
-        require(limits != null, "limits");
-        require(safetyLimits != null, "rules");
+        require(proxyCount >= 1, "setting 'balancers': " + proxyCount + ", must be at least 1");
+        require(proxyIndex >= 0, "setting 'rank': " + proxyIndex + ", must be at least 0");
+        require(zone != null, "setting 'locality': missing");
+        require(minEventIntervalUs >= 0, "setting 'quantum_us': " + minEventIntervalUs + ", must be at least 0");
+        require(requestClasses != null && !requestClasses.isEmpty(), "setting 'profiles': must have at least one item");
+        require(tenants != null, "setting 'projects': must be a list, which may be empty");
+        require(
+                overQuotaWeightFraction >= 0 && overQuotaWeightFraction <= 1,
+                "setting 'over_share_worth': " + overQuotaWeightFraction + ", must be from 0 to 1");
+        require(limits != null, "setting 'bounds': missing");
+        require(safetyLimits != null, "setting 'invariants': missing");
         requestClasses = List.copyOf(requestClasses);
         tenants = List.copyOf(tenants);
     }
 
-    static void require(boolean holds, String setting) {
-        if (!holds) {
-            throw new IllegalArgumentException("invalid setting: " + setting);
+    /**
+     * Throws if a component is not valid.
+     *
+     * @param problem which setting or other value is wrong and what it must be; follows "invalid" in the message
+     */
+    static void require(boolean valid, String problem) {
+        if (!valid) {
+            throw new IllegalArgumentException("invalid " + problem);
         }
     }
 }
--- a/src/main/java/gaugegw/balancer/api/DeduplicationScope.java
+++ b/src/main/java/gaugegw/balancer/api/DeduplicationScope.java
@@ -1,6 +1,9 @@
 package gaugegw.balancer.api;
 
-/** The endpoints that discard repeats of an {@link Idempotency#IDEMPOTENT_WITH_KEY} request together. */
+/**
+ * Which endpoints share the idempotency keys that they have seen, and so discard repeats of an {@link
+ * Idempotency#IDEMPOTENT_WITH_KEY} request that another of them has executed.
+ */
 public enum DeduplicationScope {
     /** All endpoints. */
     ALL,
--- a/src/main/java/gaugegw/balancer/api/EndpointState.java
+++ b/src/main/java/gaugegw/balancer/api/EndpointState.java
@@ -1,11 +1,11 @@
 package gaugegw.balancer.api;
 
-/** The state of an endpoint, as the endpoint list has it. */
+/** The state of an endpoint according to the endpoint list. */
 public enum EndpointState {
-    /** It may receive attempts. */
+    /** The endpoint may receive attempts. */
     READY,
-    /** It completes its work; no attempt may start. */
+    /** The endpoint completes its attempts in flight and must not receive new ones. */
     DRAINING,
-    /** It is removed; appears in changes only. */
+    /** The endpoint has been removed. Appears only in {@link UpdateKind#DELTA}. */
     GONE
 }
--- a/src/main/java/gaugegw/balancer/api/Event.java
+++ b/src/main/java/gaugegw/balancer/api/Event.java
@@ -5,21 +5,22 @@
 /** Something that happened at the proxy. */
 public sealed interface Event {
     /**
-     * The endpoint list, or a change of it.
+     * The endpoint list was received or has changed, or a call to discovery has failed.
      *
-     * @param kind what the entries are
+     * @param kind what the entries contain
      * @param endpoints the entries; an endpoint missing from a complete list is gone
      */
     record EndpointUpdate(UpdateKind kind, List<Endpoint> endpoints) implements Event {}
 
     /**
-     * A client's request. From here on, one final answer is owed.
+     * A request from a client has arrived. It must get exactly one final answer.
      *
-     * @param requestId names the request; never used again
+     * @param requestId identifies the request; never reused
      * @param requestClass the name of its class
      * @param tenant its tenant, or null
-     * @param affinityKey what the request is about, or null; see {@link BalancerSettings#cacheAffinity}
-     * @param timeoutUs time until the client gives up, in microseconds
+     * @param affinityKey identifies the data that the request is about, or null; see
+     *     {@link BalancerSettings#cacheAffinity}
+     * @param timeoutUs time from now until the client gives up, in microseconds
      * @param retry whether the client has marked it as a retry
      */
     record RequestArrived(
@@ -27,7 +28,8 @@
             implements Event {}
 
     /**
-     * An answer has begun to stream: neither the attempt's time-out nor the client's applies any more.
+     * The response of an attempt has begun to stream to the client. Neither the timeout of the attempt nor that of the
+     * client applies from here on.
      *
      * @param requestId the request of the attempt
      * @param attempt number of the attempt, from 0
@@ -40,9 +42,9 @@
      * @param requestId the request of the attempt
      * @param attempt number of the attempt, from 0
      * @param endpointId the endpoint of the attempt
-     * @param outcome how it ended
-     * @param latencyUs time since its start, in microseconds
-     * @param requestEnded whether the request has its final answer, by this event or before
+     * @param outcome how the attempt ended
+     * @param latencyUs time since the attempt started, in microseconds
+     * @param requestEnded whether the request has its final answer, from this attempt or from before
      */
     record AttemptEnded(
             String requestId,
@@ -54,16 +56,17 @@
             implements Event {}
 
     /**
-     * The client has disconnected; no answer is owed any more. Attempts in flight still end.
+     * The client has disconnected and needs no answer any more. Attempts in flight still end with an
+     * {@link AttemptEnded}.
      *
      * @param requestId the client's request
      */
     record ClientDisconnected(String requestId) implements Event {}
 
     /**
-     * A timer is due.
+     * A timer has fired.
      *
-     * @param token as given with {@link Action.SetTimer}
+     * @param token the token from the {@link Action.SetTimer}
      */
     record TimerFired(String token) implements Event {}
 
@@ -72,7 +75,7 @@
      *
      * @param endpointId the endpoint that was checked
      * @param outcome {@link AttemptOutcome#SUCCESS}, or how it failed
-     * @param latencyUs time since its start, in microseconds
+     * @param latencyUs time since the health check started, in microseconds
      */
     record HealthCheckEnded(String endpointId, AttemptOutcome outcome, long latencyUs) implements Event {}
 }
--- a/src/main/java/gaugegw/balancer/api/SafetyLimits.java
+++ b/src/main/java/gaugegw/balancer/api/SafetyLimits.java
@@ -1,15 +1,16 @@
 package gaugegw.balancer.api;
 
 /**
- * The limits that keep endpoints from failing by overload after a start, and the endpoint list from being out of date.
+ * Limits that protect endpoints from overload after they have started, and keep the endpoint list up to date.
  *
- * @param initialCapacityFraction the part of its capacity, from 0 to 1, that an endpoint has at its start at least
- * @param slowStartUs time after which it has its full capacity, in microseconds
- * @param overloadMultiple an endpoint that has not reached its full capacity fails when it receives more than this
- *     multiple of its present capacity, from all proxies together
- * @param overloadWindowUs the time over which that is counted, in microseconds
- * @param pollIntervalUs the longest time without a poll where there is no watch of the endpoint list, in microseconds
- * @param rejectedMayHaveExecuted whether an endpoint may answer {@link AttemptOutcome#REJECTED} to work that it had begun
+ * @param initialCapacityFraction the least fraction of its full capacity that an endpoint has when it starts, up to 1
+ * @param slowStartUs time from its start after which an endpoint has its full capacity, in microseconds
+ * @param overloadMultiple an endpoint below its full capacity fails if all proxies together send it more than this
+ *     multiple of its current capacity
+ * @param overloadWindowUs the time over which the attempts at that endpoint are counted, in microseconds
+ * @param pollIntervalUs the longest time between polls of the endpoint list while it is not watched, in microseconds
+ * @param rejectedMayHaveExecuted whether {@link AttemptOutcome#REJECTED} may come from an endpoint that has already
+ *     begun to execute the request
  */
 public record SafetyLimits(
         double initialCapacityFraction,
@@ -21,13 +22,23 @@
     /**
      * Checks the components.
      *
-     * @throws IllegalArgumentException if one makes no sense; the message names the setting
+     * @throws IllegalArgumentException if a component is out of range; the message names the setting as deployments
+     *     write it
      */
     public SafetyLimits {
-        BalancerSettings.require(initialCapacityFraction > 0 && initialCapacityFraction <= 1, "cold from");
-        BalancerSettings.require(slowStartUs >= 0, "cold time");
-        BalancerSettings.require(overloadMultiple > 0, "fall multiple");
-        BalancerSettings.require(overloadWindowUs > 0, "fall time");
-        BalancerSettings.require(pollIntervalUs > 0, "ask within");
+        BalancerSettings.require(
+                initialCapacityFraction > 0 && initialCapacityFraction <= 1,
+                "setting 'invariants.cold_from': " + initialCapacityFraction
+                        + ", must be greater than 0 and at most 1");
+        BalancerSettings.require(
+                slowStartUs >= 0, "setting 'invariants.cold_us': " + slowStartUs + ", must be at least 0");
+        BalancerSettings.require(
+                overloadMultiple > 0,
+                "setting 'invariants.fall_multiple': " + overloadMultiple + ", must be greater than 0");
+        BalancerSettings.require(
+                overloadWindowUs > 0, "setting 'invariants.fall_us': " + overloadWindowUs + ", must be greater than 0");
+        BalancerSettings.require(
+                pollIntervalUs > 0,
+                "setting 'invariants.must_ask_in_us': " + pollIntervalUs + ", must be greater than 0");
     }
 }
--- a/src/main/java/gaugegw/balancer/api/UpdateKind.java
+++ b/src/main/java/gaugegw/balancer/api/UpdateKind.java
@@ -6,8 +6,8 @@
     DELTA,
     /** The complete list. */
     SNAPSHOT,
-    /** The complete list as the proxy had it before its restart; it may be out of date. */
+    /** The complete list that the proxy had stored before it restarted; it may be out of date. */
     CACHED,
-    /** Nothing: a call to discovery has failed or a watch has ended, and the list so far stays in force. */
+    /** No entries: a call to discovery has failed or a watch has ended. The list so far stays in force. */
     POLL_FAILED
 }
--- a/src/test/java/gaugegw/balancer/LoadBalancerApiTest.java
+++ b/src/test/java/gaugegw/balancer/LoadBalancerApiTest.java
@@ -19,10 +19,12 @@
 import org.assertj.core.api.ThrowableAssert.ThrowingCallable;
 import org.junit.jupiter.api.Test;
 
-/** The load balancer as a program embeds it, and the errors for wrong settings and events. */
+/**
+ * The load balancer as a library: one request from arrival to answer, and the errors for invalid settings and events.
+ */
 class LoadBalancerApiTest {
     @Test
-    void embeddedLoadBalancerForwardsARequest() {
+    void forwardsARequest() {
         var actions = new ArrayList<Action>();
         var balancer = new EarliestDeadlineLoadBalancer(minimalSettings()
                 .proxy(0, 3)
@@ -43,19 +45,19 @@
     }
 
     @Test
-    void invalidSettingsAreNamed() {
-        assertInvalidSetting(() -> smallestValidSettings().proxy(0, 0).build(), "balancers");
+    void errorNamesTheInvalidSettingAndItsValue() {
+        assertInvalidSetting(() -> smallestValidSettings().proxy(0, 0).build(), "'balancers': 0, must be at least 1");
         assertInvalidSetting(
-                () -> smallestValidSettings().requestClasses(List.of()).build(), "classes");
-        assertInvalidSetting(() -> smallestValidSettings().limits(null).build(), "limits");
+                () -> smallestValidSettings().requestClasses(List.of()).build(),
+                "'profiles': must have at least one item");
+        assertInvalidSetting(() -> smallestValidSettings().limits(null).build(), "'bounds': missing");
         assertInvalidSetting(
-                () -> smallestValidSafetyLimits().initialCapacityFraction(0).build(), "cold from");
+                () -> smallestValidSafetyLimits().initialCapacityFraction(0).build(),
+                "'invariants.cold_from': 0.0, must be greater than 0 and at most 1");
     }
 
-    private static void assertInvalidSetting(ThrowingCallable build, String setting) {
-        assertThatThrownBy(build)
-                .isInstanceOf(IllegalArgumentException.class)
-                .hasMessage("invalid setting: " + setting);
+    private static void assertInvalidSetting(ThrowingCallable build, String problem) {
+        assertThatThrownBy(build).isInstanceOf(IllegalArgumentException.class).hasMessage("invalid setting " + problem);
     }
 
     private static BalancerSettingsBuilder smallestValidSettings() {
@@ -71,11 +73,11 @@
     }
 
     @Test
-    void requestOfAnUnknownClassIsAnError() {
+    void rejectsARequestOfAnUnknownClass() {
         var balancer = new EarliestDeadlineLoadBalancer(smallestValidSettings().build());
         assertThatThrownBy(() ->
                         balancer.handle(1, new Event.RequestArrived("r1", "write", null, null, 1, false), action -> {}))
                 .isInstanceOf(IllegalArgumentException.class)
-                .hasMessageContaining("write");
+                .hasMessageContaining("'write'");
     }
 }
--- a/src/test/java/gaugegw/simulator/SimulatorHostTest.java
+++ b/src/test/java/gaugegw/simulator/SimulatorHostTest.java
@@ -293,12 +293,15 @@
     }
 
     @ParameterizedTest
-    @CsvSource({
-        "balancers=3,balancers=0,invalid setting: balancers",
-        "profiles.0.aim_us=400000,profiles.0.aim_us=-1,invalid setting: aim of class pay",
-        "bounds.cancel=true,bounds.cancel=maybe,unknown value 'maybe' in setting 'bounds.cancel'",
-        "quantum_us=4000,quantum_us=4.5,bad number '4.5' in setting 'quantum_us'"
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "balancers=3|balancers=0|invalid setting 'balancers': 0, must be at least 1",
+                "profiles.0.aim_us=400000|profiles.0.aim_us=-1|"
+                        + "invalid setting 'aim_us' of profile 'pay': -1, must be greater than 0",
+                "bounds.cancel=true|bounds.cancel=maybe|unknown value 'maybe' in setting 'bounds.cancel'",
+                "quantum_us=4000|quantum_us=4.5|bad number '4.5' in setting 'quantum_us'"
+            })
     void namesAnInvalidSetting(String valid, String invalid, String message) throws IOException {
         assertThat(run(batch(START.replace(valid, invalid)))).isEqualTo(1);
         assertThat(error()).isEqualTo("line 2: up: " + message);
