--- a/src/main/java/gaugegw/balancer/ConcurrencyLimiter.java
+++ b/src/main/java/gaugegw/balancer/ConcurrencyLimiter.java
@@ -5,7 +5,7 @@
 
 /**
  * Limits the attempts that this proxy has in flight, so that requests queue at the proxy, which orders them by
- * priority, and not at the endpoints. The limit is the rate of answers times the latency budget.
+ * priority, and not at the endpoints. The limit is the rate of responses times the latency budget.
  *
  * <p>The limit is fractional, because one of hundreds of proxies may be entitled to less than one attempt in flight on
  * average. Its integer part may always be used. Further attempts, up to the next integer or to {@link
@@ -17,7 +17,7 @@
     private static final double LATENCY_HEADROOM = 1.2;
     /**
      * The number of attempts in flight per endpoint that the limits of all proxies together always allow. With fewer,
-     * an endpoint would be idle between an answer and the next attempt. Where one proxy's share of it is less than one
+     * an endpoint would be idle between a response and the next attempt. Where one proxy's share of it is less than one
      * attempt, the share applies to the average over time.
      */
     private static final double MIN_ATTEMPTS_PER_ENDPOINT = 3;
@@ -90,13 +90,13 @@
                         || unusedLimitUs >= -request.lowerPriorityShare() * limit * parameters.refreshPeriodUs());
     }
 
-    /** Returns the number of answers expected in a latency budget, but at least what keeps the endpoints busy. */
+    /** Returns the number of responses expected in a latency budget, but at least what keeps the endpoints busy. */
     private double computeLimit(long nowUs) {
         double latencyUs = Math.max(parameters.latencyBudgetUs(), LATENCY_HEADROOM * load.unloadedLatencyUs());
-        double byAnswerRate = load.responsesPerUs(nowUs) * latencyUs;
+        double byResponseRate = load.responsesPerUs(nowUs) * latencyUs;
         double endpointsPerProxy = membership.readyEndpoints().size() / (double) proxyCount;
         double extraPerEndpoint = endpointsPerProxy < 1 ? extraAttemptsPerEndpoint() : 0;
-        return Math.max(byAnswerRate, endpointsPerProxy * (MIN_ATTEMPTS_PER_ENDPOINT + extraPerEndpoint));
+        return Math.max(byResponseRate, endpointsPerProxy * (MIN_ATTEMPTS_PER_ENDPOINT + extraPerEndpoint));
     }
 
     /**
--- a/src/main/java/gaugegw/balancer/RetryAfter.java
+++ b/src/main/java/gaugegw/balancer/RetryAfter.java
@@ -48,8 +48,8 @@
         if (membership.readyEndpoints().isEmpty()) {
             return parameters.refreshPeriodUs();
         }
-        double minAnswersPerUs = 1.0 / parameters.refreshPeriodUs();
-        return queue.size() / Math.max(load.responsesPerUs(nowUs), minAnswersPerUs);
+        double minResponsesPerUs = 1.0 / parameters.refreshPeriodUs();
+        return queue.size() / Math.max(load.responsesPerUs(nowUs), minResponsesPerUs);
     }
 
     /** Returns a value from 0 to below 1 that depends only on the request id. */
