--- a/src/test/java/gaugegw/balancer/AdmissionQueueTest.java
+++ b/src/test/java/gaugegw/balancer/AdmissionQueueTest.java
@@ -17,13 +17,13 @@
 import java.util.HashMap;
 import org.junit.jupiter.api.Test;
 
-/** Requests that wait for capacity: which one is forwarded first, which one is rejected, and when. */
+/** The order in which queued requests are started, and which of them are rejected and when. */
 class AdmissionQueueTest {
     private final LoadBalancerDriver driver = new LoadBalancerDriver();
 
     /**
-     * A burst arrives that two idle endpoints cannot serve. If all of it were queued, every request would wait past
-     * its deadline. A few requests are started, a few are queued, and the rest is rejected at once.
+     * A burst of requests exceeds what two idle endpoints can serve. If all of it were queued, every request would wait
+     * past its deadline. A few requests are started, a few are queued, and the rest are rejected at once.
      */
     @Test
     void queuesUpToItsBoundAndRejectsTheRestAtOnce() {
@@ -38,9 +38,12 @@
         assertThat(started + rejected).isLessThan(100);
     }
 
-    /** Two requests wait. Freed capacity goes to the one of higher priority weight, though it arrived later. */
+    /**
+     * Two requests wait. Capacity that becomes free goes to the one with the higher priority weight, although it
+     * arrived later.
+     */
     @Test
-    void highestPriorityWeightIsForwardedFirst() {
+    void highestPriorityWeightIsStartedFirst() {
         driver.snapshot(endpoint("a"));
         var inFlight = new ArrayList<String>();
         for (int i = 0; i < 3; i++) {
@@ -55,7 +58,8 @@
     }
 
     /**
-     * The queue is full of requests of low priority weight. One of high weight displaces them and is not rejected.
+     * The queue is full of requests of low priority weight. A request of high weight displaces one of them and is not
+     * rejected.
      */
     @Test
     void lowestPriorityWeightIsRejectedFirst() {
@@ -69,9 +73,9 @@
     }
 
     /**
-     * All endpoints stay busy. A queued request that is started too late is answered after its latency objective,
-     * and a late rejection leaves the client no time for a retry. The request must be rejected while an attempt, if
-     * it were started now, could still meet the objective, and not before.
+     * All endpoints stay busy. A queued request that is started too late is answered after its latency objective, and
+     * one that is rejected too late leaves the client no time for a retry. The request must be rejected when an attempt
+     * started now could only just meet the objective, and not earlier.
      */
     @Test
     void queuedRequestIsRejectedWhileARetryCouldStillSucceed() {
@@ -80,7 +84,7 @@
             driver.submit(READ);
         }
         String queued = driver.submit(READ);
-        // Its latency objective is 600 ms away; an attempt may take 0.4 of the shortest objective, 400 ms.
+        // Its objective is 600 ms away; it is given up 160 ms before, 0.4 times the shortest objective (400 ms).
         driver.advance(439 * MILLIS);
         assertThat(driver.hasEmitted(new Reject(queued, 0))).isFalse();
         driver.advance(1 * MILLIS);
@@ -88,9 +92,9 @@
     }
 
     /**
-     * Under overload a client retries a request whose latency objective has passed already. Serving it would earn
-     * nothing and take the capacity of a request that is still in time. It is rejected, but served once there is
-     * capacity to spare.
+     * Under overload, a client retries a request whose latency objective has already passed. In this class, a late
+     * answer is worth nothing, and it would take capacity from a request that can still meet its objective. The retry
+     * is rejected, but served when there is spare capacity.
      */
     @Test
     void retryPastItsLatencyObjectiveIsServedOnlyFromSpareCapacity() {
@@ -101,15 +105,15 @@
         }
         assertThat(driver.attemptCount("first2")).isEqualTo(1);
         assertThat(driver.attemptCount("first3")).isZero();
-        // 1.2 s of 2 s are left, so the client began 0.8 s ago; its latency objective was 0.6 s.
+        // 1.2 s of the 2 s deadline are left: the client first sent it 0.8 s ago, and the objective is 0.6 s.
         driver.handle(new RequestArrived("late", "read", null, null, 1200 * MILLIS, true));
-        // As much time left as on a first try: nothing is known of when the client began.
+        // As much time is left as for a first request, so it is not known when the client first sent it.
         driver.handle(new RequestArrived("again", "read", null, null, 1800 * MILLIS, true));
         assertThat(driver.hasEmitted(new Reject("late", 0))).isTrue();
         driver.endAttempt("first0", AttemptOutcome.SUCCESS, MILLIS);
         driver.endAttempt("first1", AttemptOutcome.SUCCESS, MILLIS);
         assertThat(driver.attemptCount("again")).isEqualTo(1);
-        // With capacity to spare it is still served.
+        // With spare capacity, a late retry is served.
         driver.nowUs += 100 * MILLIS;
         driver.endAttempt("first2", AttemptOutcome.SUCCESS, MILLIS);
         driver.endAttempt("first3", AttemptOutcome.SUCCESS, MILLIS);
@@ -119,8 +123,9 @@
     }
 
     /**
-     * An endpoint serves a key that it has cached at less work. Two requests of equal priority weight wait when an
-     * endpoint becomes free. The one whose key this endpoint has cached is started, though the other arrived first.
+     * An endpoint needs less work for a request whose key it has cached. Two requests of equal priority weight wait
+     * when an endpoint becomes free. The one whose key this endpoint has cached is started, although the other arrived
+     * first.
      */
     @Test
     void freedCapacityGoesToTheRequestWhoseKeyIsCachedThere() {
@@ -159,8 +164,8 @@
     }
 
     /**
-     * A proxy whose share of the attempts in flight is below one starts a request now and then. A longer queue
-     * would only grow stale: one request waits, the next is rejected.
+     * The concurrency limit of the proxy is below one, so it starts a request only now and then, and in a longer queue
+     * requests would wait too long. One request waits, the next is rejected.
      */
     @Test
     void proxyOfALargeFleetQueuesNoMoreThanItCanSoonStart() {
--- a/src/test/java/gaugegw/balancer/ConcurrencyLimiterTest.java
+++ b/src/test/java/gaugegw/balancer/ConcurrencyLimiterTest.java
@@ -24,16 +24,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** How many attempts one proxy has in flight. */
+/** The number of attempts that one proxy has in flight. */
 class ConcurrencyLimiterTest {
     private final LoadBalancerDriver driver = new LoadBalancerDriver();
 
     /**
-     * The endpoints answer 400 requests per second. In a burst, as many attempts are started as these endpoints
+     * The endpoints answer 400 requests per second. In a burst, the proxy starts as many attempts as these endpoints
      * answer within a fifth of the shortest latency objective; more would only queue there.
      */
     @Test
-    void limitFollowsTheRateOfAnswers() {
+    void limitFollowsTheResponseRate() {
         driver.snapshot(endpoint("a"), endpoint("b"));
         for (int round = 0; round < 600; round++) {
             driver.nowUs += 5 * MILLIS;
@@ -50,13 +50,14 @@
         long started = driver.actions.subList(actionsBefore, driver.actions.size()).stream()
                 .filter(a -> a instanceof StartAttempt)
                 .count();
-        // 400 answers per second times a fifth of the shortest latency objective (400 ms).
+        // 400 responses per second times a fifth of the shortest latency objective (400 ms): 32.
         assertThat(started).isBetween(25L, 35L);
     }
 
     /**
-     * One answer in fifty never comes, whichever endpoint was to give it. If each such attempt counted until its
-     * timeout, hung attempts would fill the limit and requests would be rejected though the endpoints are idle.
+     * One attempt in fifty never gets a response, at any of the endpoints. If each of them counted against the limit
+     * until its timeout, hung attempts would use up the limit, and requests would be rejected although the endpoints
+     * are idle.
      */
     @Test
     void hungAttemptsDoNotUseUpTheLimit() {
@@ -73,22 +74,22 @@
         assertThat(rejected).isLessThan(100);
     }
 
-    private record Started(String requestId, long atUs) {}
+    private record StartedAttempt(String requestId, long atUs) {}
 
     /**
-     * Two of three proxies are gone, and the last one has a limit that was meant for a third of the traffic. An
-     * answer takes long even without a queue, so the limit is full while the endpoints are idle. The limit must
-     * grow until the endpoints are busy, also while the endpoint list changes each second as in a release, which is
-     * more often than the weights are refreshed.
+     * Two of three proxies are gone, and the limit of the last one is meant for a third of the traffic. A response
+     * takes long even without queueing, so the limit is reached while the endpoints are idle. The limit must grow until
+     * the endpoints are busy. This must also work while the endpoint list changes every second, as during a rollout,
+     * which is more often than the weights are refreshed.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void lastProxyOfThreeKeepsItsEndpointsBusyWithSlowWork(boolean listChangesEachSecond) {
-        // Without a queue an answer takes 200 ms, more than a fifth of the shortest latency objective.
+        // Without queueing, a response takes 200 ms, more than a fifth of the shortest latency objective.
         var lastProxy = new LoadBalancerDriver(
                 minimalSettings().proxy(0, 3).requestClasses(READ, PAY).build());
         lastProxy.snapshot(endpoint("a"), endpoint("b"), endpoint("c"));
-        var inFlight = new ArrayDeque<Started>();
+        var inFlight = new ArrayDeque<StartedAttempt>();
         int actionsSeen = 0;
         int startedInLastSecond = 0;
         for (int step = 0; step < 3000; step++) {
@@ -99,7 +100,7 @@
             lastProxy.submit(READ);
             for (; actionsSeen < lastProxy.actions.size(); actionsSeen++) {
                 if (lastProxy.actions.get(actionsSeen) instanceof StartAttempt s) {
-                    inFlight.add(new Started(s.requestId(), lastProxy.nowUs));
+                    inFlight.add(new StartedAttempt(s.requestId(), lastProxy.nowUs));
                     startedInLastSecond += step >= 2950 ? 1 : 0;
                 }
             }
@@ -107,13 +108,13 @@
                 lastProxy.endAttempt(inFlight.remove().requestId(), AttemptOutcome.SUCCESS, 200 * MILLIS);
             }
         }
-        // Fifty requests arrived in the last second; three at a time would be fifteen attempts.
+        // 50 requests arrived in the last second. With only three attempts in flight, 15 of them would be started.
         assertThat(startedInLastSecond).isGreaterThan(45);
     }
 
     /**
-     * Proxies share the endpoints and do not know of one another's attempts. If each proxy of twelve started as
-     * many as one proxy alone, the endpoints would get twelve times what they can queue.
+     * Proxies share the endpoints but do not know of each other's attempts. If each of twelve proxies started as many
+     * attempts as a single one, the endpoints would get twelve times the attempts that they can queue.
      */
     @Test
     void twelveProxiesTogetherHaveNoMoreInFlightThanOne() {
@@ -135,11 +136,11 @@
     @Nested
     class InALargeFleet {
         /**
-         * The only attempt that the proxy may have in flight takes long. If the limit held at every moment, one slow
-         * endpoint would block all other requests of this proxy. A second attempt is started after a while.
+         * The only attempt that the proxy may have in flight is slow. If the limit applied at every moment, one slow
+         * endpoint would block all other requests of this proxy. A second attempt must start after a while.
          */
         @Test
-        void startsASecondAttemptBesideASlowOne() {
+        void startsASecondAttemptWhileTheFirstIsSlow() {
             var proxy = LargeFleet.proxy(0);
             proxy.serve(READ, 20 * MILLIS);
             proxy.submit(READ);
@@ -148,8 +149,8 @@
         }
 
         /**
-         * All answers take long. Each attempt beyond the limit must be made up for by a pause, so that the average in
-         * flight stays within the limit and the proxy never stops for long.
+         * All responses take long. Each attempt beyond the limit must be offset by a pause, so that the average number
+         * in flight stays within the limit and the proxy never pauses for long.
          */
         @Test
         void keepsToItsLimitOnAverage() {
@@ -170,16 +171,17 @@
                     }
                 }
             }
-            // Over 25 s, 2 to 4 x 60 / 400 may be in flight on average, plus what was left unused in 1.2 s.
+            // 0.3 to 0.6 attempts (2 to 4 x 60 / 400) may be in flight on average, each for 250 ms, over 25 s; the
+            // upper bound also allows for the limit left unused in 1.2 s before.
             assertThat(startedAt.size()).isBetween(25 * 3 / 10 * 4, 27 * 6 / 10 * 4);
         }
 
         /**
-         * With less than one endpoint to itself, a proxy sees overload mainly in how much it rejects. A proxy that has
-         * rejected many requests starts fewer attempts than one that has not.
+         * A proxy with less than one endpoint to itself notices overload mainly by how many requests it rejects. A
+         * proxy that has rejected many requests starts fewer attempts than one that has not.
          */
         @Test
-        void hasFewerInFlightWhileItRejectsMuch() {
+        void startsFewerAttemptsWhileItRejectsManyRequests() {
             var idle = LargeFleet.proxy(0);
             var overloaded = LargeFleet.proxy(0);
             for (int i = 0; i < 100; i++) {
@@ -188,7 +190,7 @@
             assertThat(attemptsInTenSeconds(overloaded)).isLessThan(attemptsInTenSeconds(idle));
         }
 
-        /** Counts the attempts of ten seconds with a request every 400 ms that takes all of them. */
+        /** Counts the attempts in ten seconds with one request every 400 ms, each taking all of that time. */
         private static long attemptsInTenSeconds(LoadBalancerDriver driver) {
             driver.advance(10 * SECONDS);
             long startedBefore = driver.startedAttempts();
@@ -203,9 +205,9 @@
         }
 
         /**
-         * A slow attempt has used up the limit for a while. Requests of such a proxy seldom meet in its queue, so it
-         * cannot order them by priority weight. Instead a request of high weight may be started beyond the limit; one
-         * of low weight has to wait.
+         * A slow attempt has used up the limit for a while. Two requests are seldom in the queue of such a proxy at the
+         * same time, so it cannot order them by priority weight. Instead, a request of high weight may exceed the
+         * limit, while one of low weight has to wait.
          */
         @Test
         void exceedsItsLimitForTheHighestPriorityWeight() {
--- a/src/test/java/gaugegw/balancer/DiscoveryPollingTest.java
+++ b/src/test/java/gaugegw/balancer/DiscoveryPollingTest.java
@@ -22,38 +22,41 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Where the endpoint list is sent only on request: the load balancer watches it and calls again after failures. A
- * proxy that did not call in time would send to endpoints that have long been drained.
+ * Discovery sends the endpoint list only on request: the load balancer watches the list and calls again after failures.
+ * A proxy that did not call in time would send requests to endpoints that have long been drained.
  */
 class DiscoveryPollingTest {
-    private static final Limits POLLED = limits().endpointUpdatesOnRequest(true).build();
+    private static final Limits ON_REQUEST =
+            limits().endpointUpdatesOnRequest(true).build();
 
     /**
-     * The first call fails. The cached list stays in use meanwhile, and a timer within the poll interval makes the
+     * The first call fails. The cached list remains in use, and a timer that fires within the poll interval causes the
      * next call.
      */
     @Test
-    void watchBeginsAtOnceAndAgainAfterAFailure() {
-        var driver = new LoadBalancerDriver(settings().limits(POLLED).build());
+    void watchIsRequestedAtOnceAndAgainAfterAFailure() {
+        var driver = new LoadBalancerDriver(settings().limits(ON_REQUEST).build());
         assertThat(driver.cached(endpoint("a"))).contains(new WatchEndpoints(true));
         List<Action> actions = driver.pollFailed();
         SetTimer timer = (SetTimer) actions.get(0);
         assertThat(timer.atUs()).isBetween(driver.nowUs + 1, driver.nowUs + SAFETY_LIMITS.pollIntervalUs());
-        assertThat(driver.serve(READ, MILLIS)).as("the old list stays").isEqualTo("a");
+        assertThat(driver.serve(READ, MILLIS))
+                .as("the cached list remains in use")
+                .isEqualTo("a");
         driver.nowUs = timer.atUs();
         assertThat(driver.fireTimer(timer.token())).contains(new WatchEndpoints(true));
     }
 
     /**
-     * Discovery is down for long. However many calls fail, and whether or not two failures overlap, the backoff
-     * must not grow past its bound: a change would stay unknown for too long once discovery is back.
+     * Discovery is down for a long time. After any number of failures, and even if two of them overlap, the backoff
+     * must not grow past its bound. Otherwise, a change would remain unknown for too long once discovery is back.
      */
     @ParameterizedTest
     @ValueSource(longs = {50 * MILLIS, 500 * MILLIS, 10 * SECONDS, 60 * SECONDS, 3_600 * SECONDS})
     void nextCallIsMadeWithinTheBoundAfterAnyNumberOfFailures(long pollIntervalUs) {
         var safetyLimits = safetyLimits().pollIntervalUs(pollIntervalUs).build();
         var driver = new LoadBalancerDriver(
-                settings().limits(POLLED).safetyLimits(safetyLimits).build());
+                settings().limits(ON_REQUEST).safetyLimits(safetyLimits).build());
         long boundUs = Math.min(DiscoveryBackoff.MAX_DELAY_US, pollIntervalUs);
         driver.cached(endpoint("a"));
         for (int i = 0; i < 40; i++) {
@@ -74,20 +77,20 @@
         return driver.actions.stream().filter(new WatchEndpoints(true)::equals).count();
     }
 
-    /** Two calls that time out and the delays after them leave time for the call that is answered. */
+    /** Two calls that time out, and the delays after them, leave time for a third call that is answered. */
     @Test
     void twoFailedCallsLeaveTimeForTheCallThatIsAnswered() {
-        long longestDelayUs = 3 * DiscoveryBackoff.CALL_TIMEOUT_US + 2 * DiscoveryBackoff.MAX_DELAY_US;
-        assertThat(longestDelayUs).isEqualTo(6 * SECONDS);
+        long worstCaseUs = 3 * DiscoveryBackoff.CALL_TIMEOUT_US + 2 * DiscoveryBackoff.MAX_DELAY_US;
+        assertThat(worstCaseUs).isEqualTo(6 * SECONDS);
     }
 
     /**
-     * Each call costs discovery work for the whole fleet. During an outage the calls must become rare, up to the
-     * bound.
+     * Each call costs discovery work, once for every proxy of the fleet. During an outage, calls must become rare, up
+     * to the bound.
      */
     @Test
     void failedCallsAreRepeatedWithGrowingBackoff() {
-        var driver = new LoadBalancerDriver(settings().limits(POLLED).build());
+        var driver = new LoadBalancerDriver(settings().limits(ON_REQUEST).build());
         driver.cached(endpoint("a"));
         var delaysUs = new ArrayList<Long>();
         for (int i = 0; i < 6; i++) {
@@ -102,12 +105,13 @@
     }
 
     /**
-     * Each new watch costs a call or two, also where it is answered first and ends right after. If an answer reset
-     * the backoff at once, such a watch would be restarted without end. Only one that lasts resets it.
+     * A watch is answered and then ends at once, again and again. Each restart costs discovery a call or two. If an
+     * answer reset the backoff immediately, the watch would be restarted without a pause. Only a watch that lasts
+     * resets the backoff.
      */
     @Test
     void watchThatKeepsEndingIsRestartedWithGrowingBackoff() {
-        var driver = new LoadBalancerDriver(settings().limits(POLLED).build());
+        var driver = new LoadBalancerDriver(settings().limits(ON_REQUEST).build());
         driver.cached(endpoint("a"));
         for (int i = 0; i < 4; i++) {
             driver.pollFailed();
@@ -126,14 +130,14 @@
     }
 
     /**
-     * Discovery fails for all proxies at the same moment. If all called again after the same delay, discovery would
-     * get the calls of the whole fleet at once. Proxies of different seeds choose different delays.
+     * Discovery fails for all proxies at the same moment. If all of them called again after the same delay, discovery
+     * would get the calls of the whole fleet at once. Proxies with different seeds use different delays.
      */
     @Test
-    void proxiesDoNotRetryInStep() {
-        var driver = new LoadBalancerDriver(settings().limits(POLLED).build());
-        var otherDriver =
-                new LoadBalancerDriver(minimalSettings().limits(POLLED).seed(8).build());
+    void proxiesWithDifferentSeedsRetryAfterDifferentDelays() {
+        var driver = new LoadBalancerDriver(settings().limits(ON_REQUEST).build());
+        var otherDriver = new LoadBalancerDriver(
+                minimalSettings().limits(ON_REQUEST).seed(8).build());
         assertThat(driver.pollFailed())
                 .doesNotContainAnyElementsOf(otherDriver.pollFailed().stream()
                         .filter(a -> a instanceof SetTimer t
--- a/src/test/java/gaugegw/balancer/DuplicateEffectTest.java
+++ b/src/test/java/gaugegw/balancer/DuplicateEffectTest.java
@@ -22,15 +22,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * No request may take effect twice: which requests may be retried or rejected after an attempt, and where. "May
- * have executed" stands for an attempt whose outcome does not prove that no endpoint executed it.
+ * No request may take effect twice: after which attempts a request may be retried, where, and when it may be rejected.
+ * A request "may have executed" if the outcome of an attempt does not prove that the endpoint did not execute it.
  */
 class DuplicateEffectTest {
     private final LoadBalancerDriver driver = new LoadBalancerDriver();
 
     /**
-     * The connection is reset while a request that is not idempotent is in flight. The endpoint may have executed
-     * it: a retry, by the proxy or by the client after a rejection, could execute it twice. It must fail.
+     * The connection is reset while a request that is not idempotent is in flight. The endpoint may have executed it,
+     * so a retry by the proxy, or by the client after a rejection, could execute it twice. The request must fail.
      */
     @Test
     void nonIdempotentRequestThatMayHaveExecutedFails() {
@@ -40,8 +40,8 @@
     }
 
     /**
-     * The connection was never established, so the endpoint cannot have executed the request. Another endpoint is
-     * tried.
+     * The connection was never established, so the endpoint cannot have executed the request. It is retried at another
+     * endpoint.
      */
     @Test
     void nonIdempotentRequestThatNeverExecutedIsRetried() {
@@ -54,8 +54,8 @@
     }
 
     /**
-     * The endpoint rejected the request unread and too little time is left for a retry. A retry by the client is
-     * harmless.
+     * The endpoint rejected the request unread, and too little time is left for a retry by the proxy. The request is
+     * rejected, because a retry by the client is harmless.
      */
     @Test
     void nonIdempotentRequestThatNeverExecutedMayBeRejected() {
@@ -84,8 +84,8 @@
     }
 
     /**
-     * The endpoints of a cell share the idempotency keys. A retry in another cell of the same zone would execute
-     * twice.
+     * The endpoints of a cell share the idempotency keys that they have seen. A retry in another cell of the same zone
+     * would execute the request a second time.
      */
     @Test
     void cellDeduplicatedRequestIsRetriedInItsCell() {
@@ -101,8 +101,8 @@
     }
 
     /**
-     * Endpoints forget an idempotency key when its window has passed. A retry after that would execute the request
-     * a second time, so the request fails.
+     * Endpoints forget an idempotency key when its deduplication window has passed. A retry after that would execute
+     * the request a second time, so the request fails.
      */
     @Test
     void deduplicatedRequestIsNotRetriedPastItsWindow() {
@@ -121,9 +121,9 @@
     }
 
     /**
-     * A retry counts from its first byte, and a new connection may take up to the connect timeout to come up. A
-     * retry started just before the end of the window could begin after it, so the connect timeout is part of the
-     * bound.
+     * An endpoint sees a retry when its first byte arrives, and a new connection may take up to the connect timeout to
+     * be established. A retry that starts just before the end of the deduplication window could arrive after it, so the
+     * last permitted start is earlier by the connect timeout.
      */
     @Test
     void deduplicatedRequestIsNotRetriedIfItMayBeginPastItsWindow() {
@@ -149,8 +149,8 @@
     }
 
     /**
-     * After a rejection the client retries through any proxy, which may choose another zone. A request that is
-     * deduplicated within one zone and may have executed must fail instead.
+     * After a rejection, the client retries through any proxy, which may choose an endpoint in another zone. A request
+     * that is deduplicated only within one zone and may have executed must fail instead.
      */
     @Test
     void zoneDeduplicatedRequestThatMayHaveExecutedFails() {
@@ -162,7 +162,8 @@
     }
 
     /**
-     * All endpoints share the idempotency keys, so the client may retry anywhere even if the request has executed.
+     * All endpoints share the idempotency keys, so a retry by the client is harmless everywhere, even if the request
+     * has executed.
      */
     @Test
     void requestDeduplicatedByAllEndpointsMayBeRejected() {
@@ -174,8 +175,8 @@
     }
 
     /**
-     * Where the settings say that an endpoint may reject work that it has begun, a rejection proves nothing: it
-     * counts as any other failure, for retries and for the final answer.
+     * The settings say that an endpoint may reject requests that it has begun to execute. A rejection then proves
+     * nothing: it counts like any other failure, for retries and for the final answer.
      */
     @Nested
     class WhenARejectionMayHaveExecuted {
@@ -183,7 +184,7 @@
                 .safetyLimits(safetyLimits().rejectedMayHaveExecuted(true).build())
                 .build());
 
-        /** A rejected request that is not idempotent may have executed: it is neither retried nor rejected. */
+        /** A request that is not idempotent may have executed although it was rejected: it fails. */
         @Test
         void nonIdempotentRequestFails() {
             driver.snapshot(endpoint("a"), endpoint("b"));
@@ -191,7 +192,7 @@
             assertThat(driver.endAttempt(id, AttemptOutcome.REJECTED, MILLIS)).containsExactly(new Fail(id));
         }
 
-        /** A retry goes to another cell of the same zone, never to another zone. */
+        /** A retry may go to another cell of the same zone, but never to another zone. */
         @Test
         void zoneDeduplicatedRequestIsRetriedInItsZoneOnly() {
             driver.snapshot(endpointIn("a", "a", 1), endpointIn("b", "b", 2), endpointIn("c", "a", 3));
@@ -201,7 +202,10 @@
             assertThat(driver.lastAttempt(id).endpointId()).isIn("a", "c");
         }
 
-        /** The window has passed, so no endpoint may be sent a retry; a rejection would invite one. */
+        /**
+         * The deduplication window has passed, so the request must not be retried. A rejection would invite the client
+         * to do so.
+         */
         @Test
         void deduplicatedRequestPastItsWindowFails() {
             driver.snapshot(endpoint("a"));
@@ -210,7 +214,7 @@
             assertThat(driver.endAttempt(id, AttemptOutcome.REJECTED, MILLIS)).containsExactly(new Fail(id));
         }
 
-        /** A retry by the client is harmless at every endpoint. */
+        /** A retry by the client is harmless at every endpoint, so the request may be rejected. */
         @Test
         void requestDeduplicatedByAllEndpointsIsStillRejected() {
             driver.snapshot(endpoint("a"));
--- a/src/test/java/gaugegw/balancer/RejectionTest.java
+++ b/src/test/java/gaugegw/balancer/RejectionTest.java
@@ -10,15 +10,15 @@
 import gaugegw.balancer.api.Action.Reject;
 import org.junit.jupiter.api.Test;
 
-/** What a rejection says to the client. */
+/** The Retry-After of rejections. */
 class RejectionTest {
     /**
-     * Under overload many clients are rejected at the same moment. If all of them retried at once, or after the
-     * same delay, the retries would arrive as a second overload. Each rejection carries a Retry-After of its own,
-     * within the configured maximum.
+     * Under overload, many clients are rejected at the same moment. If all of them retried at once, or after the same
+     * delay, the retries would cause a second overload. Each rejection has a different Retry-After, within the
+     * configured maximum.
      */
     @Test
-    void rejectionCarriesRetryAfter() {
+    void rejectionsCarryDifferentRetryAfters() {
         long maxRetryAfterUs = 700 * MILLIS;
         var driver = new LoadBalancerDriver(settings()
                 .limits(limits().maxRetryAfterUs(maxRetryAfterUs).build())
--- a/src/test/java/gaugegw/balancer/RequestCompletionTest.java
+++ b/src/test/java/gaugegw/balancer/RequestCompletionTest.java
@@ -19,16 +19,16 @@
 import gaugegw.balancer.api.Event.StreamStarted;
 import org.junit.jupiter.api.Test;
 
-/** Each request gets exactly one final answer, in time for its client. */
+/** Each request gets exactly one final answer, while its client still waits for it. */
 class RequestCompletionTest {
     private final LoadBalancerDriver driver = new LoadBalancerDriver();
 
     /**
-     * No endpoint becomes free and no other event comes. Without a timer, a queued request would be forgotten until
-     * its client has left. A timer ahead of the deadline must reject it, once.
+     * No endpoint becomes free and no other event arrives. Without a timer, a queued request would stay unanswered
+     * until its client disconnects. A timer that fires before the deadline must reject it, once.
      */
     @Test
-    void queuedRequestHasATimerAndIsRejectedByIt() {
+    void timerRejectsAQueuedRequestBeforeItsDeadline() {
         driver.snapshot(endpoint("a"));
         String queued = driver.submit(READ);
         while (driver.attemptCount(queued) > 0) {
@@ -40,7 +40,7 @@
         assertThat(driver.actions).containsOnlyOnce(new Reject(queued, 0));
     }
 
-    /** The endpoint list is empty. Queueing a request would only delay its rejection. */
+    /** The endpoint list is empty. To queue a request would only delay its rejection. */
     @Test
     void withoutEndpointsARequestIsRejectedAtOnce() {
         driver.snapshot();
@@ -49,11 +49,11 @@
     }
 
     /**
-     * An attempt times out just when the client stops waiting. The final answer must follow in the same round, and
-     * the client's disconnect right after it must not cause a second one.
+     * An attempt times out at the moment when the client stops waiting. The final answer must be emitted for the same
+     * event, and the disconnect of the client that follows must not cause a second one.
      */
     @Test
-    void timeoutAtTheDeadlineIsAnsweredAtOnceAndOnce() {
+    void timeoutAtTheDeadlineIsAnsweredOnceAndAtOnce() {
         driver.snapshot(endpoint("a"));
         String id = driver.submit(READ);
         driver.nowUs += READ.deadlineUs();
@@ -62,7 +62,7 @@
         assertThat(driver.handle(new ClientDisconnected(id))).isEmpty();
     }
 
-    /** An attempt that outlived the deadline would work for a client that no longer waits. */
+    /** An attempt that continued past the deadline would work for a client that no longer waits. */
     @Test
     void attemptTimesOutBeforeTheClientsDeadline() {
         driver.snapshot(endpoint("a"));
@@ -71,8 +71,8 @@
     }
 
     /**
-     * The client disconnects while an attempt is in flight. The attempt is cancelled, and its end must not be taken
-     * for a failure that asks for a retry.
+     * The client disconnects while an attempt is in flight. The attempt is cancelled, and its end must not be treated
+     * as a failure that causes a retry.
      */
     @Test
     void disconnectCancelsTheAttemptAndStartsNoOther() {
@@ -82,7 +82,7 @@
         assertThat(driver.endAttempt(id, AttemptOutcome.CANCELLED, MILLIS)).isEmpty();
     }
 
-    /** Where the settings rule out cancellation, the attempt is left to end by itself. */
+    /** If the settings do not permit cancellation, the attempt is left to end by itself. */
     @Test
     void withoutCancellationADisconnectCausesNoAction() {
         var driverWithoutCancellation = new LoadBalancerDriver(
@@ -93,8 +93,8 @@
     }
 
     /**
-     * An event may cross with the final answer and arrive for a request or an endpoint that is no longer known. It
-     * must cause no action and no failure.
+     * An event may arrive after the final answer, for a request or an endpoint that is no longer known. It must cause
+     * no action and no exception.
      */
     @Test
     void eventsForUnknownRequestsAreIgnored() {
@@ -108,8 +108,8 @@
     }
 
     /**
-     * A response has begun to stream to the client when its connection breaks. The client already has a part of
-     * that response: neither a retry nor another final answer may follow.
+     * The connection breaks after a response has begun to stream to the client. The client already has a part of that
+     * response, so neither a retry nor another final answer may follow.
      */
     @Test
     void brokenStreamGetsNoFurtherAnswer() {
--- a/src/test/java/gaugegw/balancer/RetryPolicyTest.java
+++ b/src/test/java/gaugegw/balancer/RetryPolicyTest.java
@@ -10,13 +10,13 @@
 import gaugegw.balancer.api.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
-/** How many attempts a request gets, and how long one of them may take. */
+/** The number of attempts of a request, and the timeout of an attempt. */
 class RetryPolicyTest {
     private final LoadBalancerDriver driver = new LoadBalancerDriver();
 
     /**
-     * Every endpoint rejects the request. Each further attempt adds load where there is too much already, so after
-     * the configured number of attempts the request is rejected.
+     * Every endpoint rejects the request. Each further attempt adds load to endpoints that already have too much, so
+     * the request is rejected after the configured number of attempts.
      */
     @Test
     void attemptsStayWithinTheConfiguredMaximum() {
@@ -30,8 +30,8 @@
     }
 
     /**
-     * An answer after the latency objective earns nothing in this class. An attempt that waited until the deadline
-     * would use up a part of the limit for nothing.
+     * An answer after the latency objective is worth nothing in this class. An attempt that waited until the deadline
+     * would use a part of the concurrency limit for nothing.
      */
     @Test
     void attemptTimesOutSoonAfterTheLatencyObjective() {
--- a/src/test/java/gaugegw/balancer/TenantQuotaTest.java
+++ b/src/test/java/gaugegw/balancer/TenantQuotaTest.java
@@ -14,9 +14,9 @@
 /** The quotas of tenants under overload. */
 class TenantQuotaTest {
     /**
-     * One tenant sends far more than its quota and fills the queue before another, within its quota, sends a
-     * request. First come, first served would starve the second tenant. Its request must be started as soon as
-     * capacity is free.
+     * One tenant sends far more than its quota and fills the queue before another tenant, which is within its quota,
+     * sends a request. If requests were started in the order of arrival, the second tenant would starve. Its request
+     * must be started as soon as capacity is free.
      */
     @Test
     void tenantOverItsQuotaYieldsToATenantWithinIt() {
--- a/src/test/java/gaugegw/balancer/testing/EndpointBuilder.java
+++ b/src/test/java/gaugegw/balancer/testing/EndpointBuilder.java
@@ -3,7 +3,7 @@
 import gaugegw.balancer.api.Endpoint;
 import gaugegw.balancer.api.EndpointState;
 
-/** Builds an endpoint from these defaults: ready, kind "std", zone "a", cell 1, weight 1, started long ago. */
+/** Builds an endpoint. The defaults are: ready, kind "std", zone "a", cell 1, weight 1, started long ago. */
 public final class EndpointBuilder {
     private final String id;
     private EndpointState state = EndpointState.READY;
--- a/src/test/java/gaugegw/balancer/testing/LimitsBuilder.java
+++ b/src/test/java/gaugegw/balancer/testing/LimitsBuilder.java
@@ -2,7 +2,10 @@
 
 import gaugegw.balancer.api.Limits;
 
-/** Builds limits from these defaults: cancellation allowed, four attempts, no Retry-After, connections at once. */
+/**
+ * Builds limits. By default, cancellation is permitted, a request may have four attempts, a rejection has no
+ * Retry-After, and a connection is established at once.
+ */
 public final class LimitsBuilder {
     private boolean cancellation = true;
     private boolean hedging;
--- a/src/test/java/gaugegw/balancer/testing/RequestClassBuilder.java
+++ b/src/test/java/gaugegw/balancer/testing/RequestClassBuilder.java
@@ -4,7 +4,9 @@
 import gaugegw.balancer.api.Idempotency;
 import gaugegw.balancer.api.RequestClass;
 
-/** Builds a request class from these defaults: idempotent, priority weight 1, a late answer earns nothing. */
+/**
+ * Builds a request class. By default, it is idempotent, has the priority weight 1, and a late answer is worth nothing.
+ */
 public final class RequestClassBuilder {
     private final String name;
     private long latencyObjectiveUs = 600 * TestSettings.MILLIS;
@@ -49,7 +51,7 @@
         return idempotency(Idempotency.IDEMPOTENT_WITH_KEY).deduplicationWindow(scope, windowUs);
     }
 
-    /** Sets the scope and the window alone; a class of another idempotency carries them without effect. */
+    /** Sets only the scope and the window. They have no effect unless the class is idempotent with a key. */
     public RequestClassBuilder deduplicationWindow(DeduplicationScope scope, long windowUs) {
         deduplicationScope = scope;
         deduplicationWindowUs = windowUs;
--- a/src/test/java/gaugegw/balancer/testing/SafetyLimitsBuilder.java
+++ b/src/test/java/gaugegw/balancer/testing/SafetyLimitsBuilder.java
@@ -2,7 +2,10 @@
 
 import gaugegw.balancer.api.SafetyLimits;
 
-/** Builds safety limits from these defaults: slow start from 40% over 8 s, overload at four times for 1 s. */
+/**
+ * Builds safety limits. By default, an endpoint starts with 40% of its capacity, has all of it after 8 s, and until
+ * then fails if it receives more than four times its current capacity within 1 s.
+ */
 public final class SafetyLimitsBuilder {
     private double initialCapacityFraction = 0.4;
     private long slowStartUs = 8 * TestSettings.SECONDS;
--- a/src/test/java/gaugegw/balancer/testing/TestEndpoints.java
+++ b/src/test/java/gaugegw/balancer/testing/TestEndpoints.java
@@ -4,7 +4,7 @@
 import gaugegw.balancer.api.EndpointState;
 import java.util.stream.IntStream;
 
-/** Endpoints that differ from the defaults of {@link EndpointBuilder} in little. */
+/** Creates endpoints that differ from the defaults of {@link EndpointBuilder} in one or two properties. */
 public final class TestEndpoints {
     private TestEndpoints() {}
 
@@ -32,7 +32,9 @@
         return endpointBuilder(id).startedAtUs(startedAtUs).build();
     }
 
-    /** Returns so many equal endpoints, named by the prefix and a number from 0. */
+    /**
+     * Returns the given number of endpoints that differ only in their ids, which are the prefix and a number from 0.
+     */
     public static Endpoint[] endpoints(int count, String prefix) {
         return IntStream.range(0, count).mapToObj(i -> endpoint(prefix + i)).toArray(Endpoint[]::new);
     }
--- a/src/test/java/gaugegw/balancer/testing/TestSettings.java
+++ b/src/test/java/gaugegw/balancer/testing/TestSettings.java
@@ -6,7 +6,7 @@
 import gaugegw.balancer.api.RequestClass;
 import gaugegw.balancer.api.SafetyLimits;
 
-/** Settings that most tests share. Each builder starts from them, so that a test names only what it changes. */
+/** Settings that most tests share. Each builder starts from them, so that a test states only what it changes. */
 public final class TestSettings {
     /** One millisecond, in microseconds. */
     public static final long MILLIS = 1_000;
@@ -21,7 +21,7 @@
             .priorityWeight(1)
             .build();
 
-    /** Deduplicated by the endpoints of a zone for 1.2 s; the class of the highest priority weight. */
+    /** Deduplicated within a zone for 1.2 s. Of these classes, it has the highest priority weight. */
     public static final RequestClass PAY = requestClass("pay")
             .latencyObjectiveUs(400 * MILLIS)
             .deadlineUs(2 * SECONDS)
@@ -29,7 +29,7 @@
             .deduplicated(DeduplicationScope.ZONE, 1200 * MILLIS)
             .build();
 
-    /** Deduplicated by the endpoints of a cell for 12 s. */
+    /** Deduplicated within a cell for 12 s. */
     public static final RequestClass BOOK = requestClass("book")
             .latencyObjectiveUs(600 * MILLIS)
             .deadlineUs(2 * SECONDS)
@@ -45,7 +45,7 @@
             .deduplicated(DeduplicationScope.ALL, 12 * SECONDS)
             .build();
 
-    /** Not idempotent: may be sent again only if no attempt can have executed. */
+    /** Not idempotent: may be retried only if no attempt can have executed it. */
     public static final RequestClass VOTE = requestClass("vote")
             .latencyObjectiveUs(600 * MILLIS)
             .deadlineUs(2 * SECONDS)
@@ -53,19 +53,22 @@
             .idempotency(Idempotency.NOT_IDEMPOTENT)
             .build();
 
-    /** Without Retry-After, so that equal rejections are equal actions. */
+    /** Without Retry-After, so that a test can name the rejection that it expects. */
     public static final Limits LIMITS = limits().build();
 
     public static final SafetyLimits SAFETY_LIMITS = safetyLimits().build();
 
     private TestSettings() {}
 
-    /** Starts from one proxy in zone "a" with all the request classes above. */
+    /** Returns a builder that starts from one proxy in zone "a" with all the request classes above. */
     public static BalancerSettingsBuilder settings() {
         return new BalancerSettingsBuilder();
     }
 
-    /** Starts from one proxy in zone "a" with {@link #READ} as its only class, and events 1 ms apart at least. */
+    /**
+     * Returns a builder that starts from one proxy in zone "a", with {@link #READ} as its only class, and at least 1 ms
+     * between two rounds of events.
+     */
     public static BalancerSettingsBuilder minimalSettings() {
         return settings()
                 .minEventIntervalUs(MILLIS)
@@ -74,17 +77,19 @@
                 .seed(1);
     }
 
-    /** Starts from what {@link #LIMITS} holds. */
+    /** Returns a builder that starts from {@link #LIMITS}. */
     public static LimitsBuilder limits() {
         return new LimitsBuilder();
     }
 
-    /** Starts from what {@link #SAFETY_LIMITS} holds. */
+    /** Returns a builder that starts from {@link #SAFETY_LIMITS}. */
     public static SafetyLimitsBuilder safetyLimits() {
         return new SafetyLimitsBuilder();
     }
 
-    /** Starts from an idempotent class of priority weight 1 whose late answers earn nothing. */
+    /**
+     * Returns a builder that starts from an idempotent class of priority weight 1 whose late answers are worth nothing.
+     */
     public static RequestClassBuilder requestClass(String name) {
         return new RequestClassBuilder(name);
     }
--- a/src/test/java/gaugegw/balancer/testing/package-info.java
+++ b/src/test/java/gaugegw/balancer/testing/package-info.java
@@ -1,2 +1,2 @@
-/** Fixtures for tests of the decision module: settings, request classes and endpoints, each with named defaults. */
+/** Fixtures for tests of the load balancer: settings, request classes and endpoints, each with named defaults. */
 package gaugegw.balancer.testing;
--- a/src/test/java/gaugegw/settings/SettingsTreeTest.java
+++ b/src/test/java/gaugegw/settings/SettingsTreeTest.java
@@ -7,7 +7,7 @@
 import org.assertj.core.api.ThrowableAssert.ThrowingCallable;
 import org.junit.jupiter.api.Test;
 
-/** The typed getters, and what an error says of the setting that caused it. */
+/** The typed getters, and what an exception says about the setting that caused it. */
 class SettingsTreeTest {
     private final SettingsTree settings = SettingsTree.builder()
             .put("limit", "4.0")
@@ -44,7 +44,7 @@
         assertInvalid(() -> settings.booleanValueOr("mode", true), "mode", "fast");
     }
 
-    /** A setting that is there but empty is as useless as a missing one, and is reported as missing. */
+    /** A setting that is present but empty is of no use, and is reported as missing. */
     @Test
     void reportsAnEmptySettingAsMissing() {
         var error = catchThrowableOfType(InvalidSettingException.class, () -> settings.longValue("empty"));
@@ -63,7 +63,9 @@
                 .isEqualTo("one of [idle, slow]");
     }
 
-    /** An item reads its settings by short paths; an error must still name the path that the operators wrote. */
+    /**
+     * An item reads its settings by paths relative to it. An error must name the full path, which the operators wrote.
+     */
     @Test
     void errorsInAListNameTheWholePath() {
         assertInvalid(
@@ -72,7 +74,7 @@
                 "many");
     }
 
-    /** Asserts that a read fails for this path and value; returns what was expected instead. */
+    /** Asserts that a read fails for this path and value, and returns the description of what is allowed. */
     private static String assertInvalid(ThrowingCallable read, String path, String value) {
         var error = catchThrowableOfType(InvalidSettingException.class, read);
         assertThat(error.path()).isEqualTo(path);
