--- a/src/main/java/gaugegw/settings/SettingNames.java
+++ b/src/main/java/gaugegw/settings/SettingNames.java
@@ -14,7 +14,7 @@
     static final String DISCOVERY_MODE = "registry_mode";
     static final String CACHE_AFFINITY = "extra.warm_keys";
 
-    // The list of request classes; the names below it are those of an item.
+    // The list of request classes, and the names of an item.
     static final String REQUEST_CLASSES = "profiles";
     static final String CLASS_NAME = "name";
     static final String LATENCY_OBJECTIVE_US = "aim_us";
@@ -25,7 +25,7 @@
     static final String DEDUPLICATION_SCOPE = "key_scope";
     static final String DEDUPLICATION_WINDOW_US = "window_us";
 
-    // The list of tenants, which may be missing, and the settings of an item; then a factor for all tenants.
+    // The list of tenants, which may be missing; the names of an item; and a factor that applies to all tenants.
     static final String TENANTS = "projects";
     static final String TENANT_NAME = "name";
     static final String QUOTA_PER_SECOND = "allowance_per_s";
