--- a/src/test/java/gaugegw/proxy/config/ConfigFileWatcherTest.java
+++ b/src/test/java/gaugegw/proxy/config/ConfigFileWatcherTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Which states of a configuration file are applied; the polls are the test's own. */
+/** Which states of a configuration file are applied. The test itself polls the file. */
 class ConfigFileWatcherTest {
-    private static final String FIRST = "127.0.0.1:1";
-    private static final String SECOND = "127.0.0.1:2";
+    private static final String FIRST_ADDRESS = "127.0.0.1:1";
+    private static final String SECOND_ADDRESS = "127.0.0.1:2";
 
     @TempDir
     private Path folder;
@@ -26,8 +26,8 @@
     private ConfigFileWatcher watcher;
 
     @BeforeEach
-    void watch() throws Exception {
-        file = Files.writeString(folder.resolve("config.json"), ProxyFixture.configText(FIRST));
+    void createWatcher() throws Exception {
+        file = Files.writeString(folder.resolve("config.json"), ProxyFixture.configText(FIRST_ADDRESS));
         watcher = new ConfigFileWatcher(file, ProxyConfig.read(file), new ConfigFileWatcher.Listener() {
             @Override
             public void configChanged(ProxyConfig config) {
@@ -45,18 +45,18 @@
     void appliesEachReplacementOnce() throws Exception {
         poll(3);
         assertThat(applied).isEmpty();
-        Files.writeString(file, ProxyFixture.configText(SECOND));
+        Files.writeString(file, ProxyFixture.configText(SECOND_ADDRESS));
         poll(3);
-        assertThat(applied).containsExactly(SECOND);
+        assertThat(applied).containsExactly(SECOND_ADDRESS);
     }
 
     /**
-     * The file is deleted, then written piece by piece, and is polled meanwhile. It is rejected once for each state, is
-     * read again at each poll, and is applied once it parses.
+     * The file is deleted and then written in two steps, and is polled in between. Each invalid state is rejected once,
+     * the file is read again at each poll, and it is applied as soon as it is valid.
      */
     @Test
     void rereadsAnInvalidFileUntilItIsValid() throws Exception {
-        String config = ProxyFixture.configText(SECOND);
+        String config = ProxyFixture.configText(SECOND_ADDRESS);
         Files.delete(file);
         poll(3);
         assertThat(rejected).hasSize(1);
@@ -66,22 +66,23 @@
         assertThat(applied).isEmpty();
         Files.writeString(file, config);
         poll(1);
-        assertThat(applied).containsExactly(SECOND);
+        assertThat(applied).containsExactly(SECOND_ADDRESS);
         assertThat(rejected).hasSize(2);
     }
 
     /**
      * The file is written twice within one tick of the file system's clock, with contents of the same size, and a poll
-     * falls between. Neither size nor modification time show the second write; the next poll has to read it all the same.
+     * falls in between. Neither the size nor the modification time shows the second write, but the next poll has to
+     * read it.
      */
     @Test
     void appliesAWriteThatLeavesSizeAndModificationTimeUnchanged() throws Exception {
         watcher.poll();
         FileTime modified = Files.getLastModifiedTime(file);
-        Files.writeString(file, ProxyFixture.configText(SECOND));
+        Files.writeString(file, ProxyFixture.configText(SECOND_ADDRESS));
         Files.setLastModifiedTime(file, modified);
         watcher.poll();
-        assertThat(applied).containsExactly(SECOND);
+        assertThat(applied).containsExactly(SECOND_ADDRESS);
     }
 
     private void poll(int times) {
--- a/src/test/java/gaugegw/proxy/config/JsonTreesTest.java
+++ b/src/test/java/gaugegw/proxy/config/JsonTreesTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Jackson's mapper is the reference: the reader gives the same trees and rejects the same documents. */
+/**
+ * Compares the parser with Jackson's {@code ObjectMapper}: same trees for valid documents, an exception for invalid
+ * ones.
+ */
 class JsonTreesTest {
     @ParameterizedTest
     @ValueSource(
@@ -26,15 +29,18 @@
                 "  ",
                 "{\"a\":1,\"a\":2}"
             })
-    void readsWhatTheMapperReads(String text) throws Exception {
-        // As text: an int and a long of the same value are different nodes.
+    void returnsTheSameTreeAsTheMapper(String text) throws Exception {
+        // Compared as text, because an int and a long of the same value are different nodes.
         assertThat(ProxyFixture.parseJson(text).toString())
                 .isEqualTo(new ObjectMapper().readTree(text).toString());
         assertThat(ProxyFixture.parseJson(text).getNodeType())
                 .isEqualTo(new ObjectMapper().readTree(text).getNodeType());
     }
 
-    /** A document ends early or has a token out of place. It is rejected as no JSON, not read in part. */
+    /**
+     * A document ends early or contains a misplaced token. It is rejected as invalid JSON instead of being read in
+     * part.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"{", "[1", "{\"a\"}", "{\"a\":}", "]", "}", "nul", "[1,]", "{\"a\":1", "not JSON"})
     void rejectsMalformedDocuments(String text) {
--- a/src/test/java/gaugegw/proxy/config/ProxyConfigTest.java
+++ b/src/test/java/gaugegw/proxy/config/ProxyConfigTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a configuration says, and the one line on what is wrong with it. */
+/** The contents of a configuration, and the one-line message about what is wrong with it. */
 class ProxyConfigTest {
     @Test
     void readsTheSettings() throws Exception {
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void aCachedListThatHasChangedMarksARestart() throws Exception {
+    void isFirstStartOnlyIfTheCachedListHasNeverChanged() throws Exception {
         ObjectNode json = ProxyFixture.configTree();
         assertThat(ProxyConfig.parse(json).isFirstStart()).isFalse();
         ((ObjectNode) json.get("known")).put("version", 0);
@@ -40,7 +40,7 @@
         assertThat(ProxyConfig.parse(json).isFirstStart()).isTrue();
     }
 
-    /** One field is missing, malformed or out of range. The message names it and says what is wanted there. */
+    /** One field is missing, malformed or out of range. The message names it and says what is expected there. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -58,7 +58,7 @@
                 .hasMessage(message);
     }
 
-    /** A setting is missing, or has a value that is none of those allowed. The message names it by its path. */
+    /** A setting is missing or has an unknown value. The message names it by its path. */
     @Test
     void namesTheInvalidSetting() throws Exception {
         ObjectNode withoutSetting = ProxyFixture.configTree();
@@ -71,9 +71,9 @@
                 .hasMessage("'settings': unknown value 'sometimes' in setting 'profiles.1.effect'");
     }
 
-    /** The error's parts are for code; the message, which tests above fix, is for the operators. */
+    /** Code can read the parts of the error separately; the message, which the tests above check, is for operators. */
     @Test
-    void givesFieldFoundAndExpectedSeparately() throws Exception {
+    void returnsFieldFoundAndExpectedSeparately() throws Exception {
         assertThatThrownBy(() -> ProxyConfig.parse(ProxyFixture.configTree().put("listen", "8080")))
                 .isInstanceOfSatisfying(InvalidConfigException.class, e -> {
                     assertThat(e.field()).isEqualTo("listen");
@@ -82,9 +82,9 @@
                 });
     }
 
-    /** The file does not exist, then holds half a document. The message tells the two apart. */
+    /** The file does not exist, then contains half a document. The two messages differ. */
     @Test
-    void rejectsAFileThatIsNoConfiguration(@TempDir Path folder) throws Exception {
+    void distinguishesAnUnreadableFileFromInvalidJson(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("config.json");
         assertThatThrownBy(() -> ProxyConfig.read(file))
                 .isInstanceOf(InvalidConfigException.class)
--- a/src/test/java/gaugegw/proxy/discovery/DiscoveryAddressChangeTest.java
+++ b/src/test/java/gaugegw/proxy/discovery/DiscoveryAddressChangeTest.java
@@ -8,14 +8,14 @@
 import gaugegw.proxy.testing.ScriptedServer;
 import org.junit.jupiter.api.Test;
 
-/** Reloads of the configuration, as far as they concern the address of discovery. */
+/** Reloads of the configuration that change the address of discovery, or try to. */
 class DiscoveryAddressChangeTest {
     /**
-     * A reload moves discovery to another address. The watch moves at once and fetches the complete list from there; the
-     * cached endpoints serve until it has arrived.
+     * A reload changes the address of discovery. The proxy at once fetches the complete list from the new address, and
+     * uses the cached endpoints until it has arrived.
      */
     @Test
-    void movesToTheDiscoveryAddressOfAReload() throws Exception {
+    void fetchesTheCompleteListFromTheNewAddress() throws Exception {
         try (var backend = new ScriptedServer();
                 var newDiscovery = new ScriptedServer();
                 var proxy = new ProxyFixture(
@@ -41,11 +41,11 @@
     }
 
     /**
-     * Two reloads name no valid configuration: the watch goes on as it was. Of two valid ones in a row the last counts, and
-     * one that names the same address again changes nothing.
+     * Two reloads find an invalid configuration: the watch continues as before. Of two valid reloads in a row, the last
+     * one counts. A reload with an unchanged address changes nothing.
      */
     @Test
-    void anInvalidReloadLeavesTheWatchAlone() throws Exception {
+    void keepsTheWatchAfterAnInvalidOrUnchangedReload() throws Exception {
         try (var newDiscovery = new ScriptedServer();
                 var proxy = new ProxyFixture(watching())) {
             RawConnection call = proxy.discovery.accept();
--- a/src/test/java/gaugegw/proxy/discovery/DiscoveryCallFailureTest.java
+++ b/src/test/java/gaugegw/proxy/discovery/DiscoveryCallFailureTest.java
@@ -28,11 +28,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Calls to discovery that fail, and how soon the load balancer is notified of it. */
+/** Calls to discovery that fail, and how soon the load balancer is notified of the failure. */
 class DiscoveryCallFailureTest {
     /**
-     * A call fails by an error, a response cut short, a closed connection, or a body that is no endpoint list. The load
-     * balancer is notified; the next call is made because it demands one.
+     * A call fails because of an error status, a truncated response, a closed connection, or a body that is not an
+     * endpoint list. The load balancer is notified, and the next call is made only because the load balancer asks for
+     * it.
      */
     @ParameterizedTest
     @ValueSource(
@@ -61,8 +62,8 @@
     }
 
     /**
-     * Discovery is cut off and stays silent on an open connection, which TCP does not report. The call fails by its timeout
-     * and its connection is closed.
+     * Discovery becomes unreachable while a connection to it is open, which TCP does not report. The call fails by its
+     * timeout, and its connection is closed.
      */
     @Test
     void aCallToASilentDiscoveryTimesOut() throws Exception {
@@ -76,11 +77,12 @@
     }
 
     /**
-     * Discovery falls silent during a held call. An update that the call misses must be in force 3 s after the end of its
-     * hold, so the call has to fail before that: before a timer set at its start to 3 s after the shortest hold of 1.1 s.
+     * Discovery stops responding during a held call. An update that the call misses must be applied within 3 s after
+     * the end of its hold, so the call has to fail before that. The timer starts with the call and fires 3 s after the
+     * end of the shortest hold, which is 1.1 s.
      */
     @Test
-    void aSilentWatchFailsBeforeAMissedUpdateMustBeInForce() throws Exception {
+    void aSilentWatchFailsBeforeAMissedUpdateMustBeApplied() throws Exception {
         try (var proxy = new ProxyFixture(watchingWithTimer(UpdateKind.DELTA, 4_100))) {
             RawConnection firstCall = proxy.discovery.accept();
             firstCall.read();
@@ -96,12 +98,12 @@
     private static final String STALLED_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n{";
 
     /**
-     * Discovery accepts a call without a hold and stays silent, or stops half-way through its response. The call has failed
-     * 1.2 s after its start.
+     * Discovery accepts a call without a hold and sends no response, or only the beginning of one. The call fails 1.2 s
+     * after its start.
      */
     @ParameterizedTest
     @ValueSource(strings = {"", STALLED_RESPONSE})
-    void aCallWithoutAHoldTimesOutSoon(String response) throws Exception {
+    void aCallWithoutAHoldTimesOutEarly(String response) throws Exception {
         try (var proxy = new ProxyFixture(watchingWithTimer(UpdateKind.POLL_FAILED, 1_700))) {
             proxy.discovery.accept().close();
             assertThat(proxy.awaitEvent(EndpointUpdate.class).kind()).isEqualTo(UpdateKind.CACHED);
@@ -115,11 +117,11 @@
     }
 
     /**
-     * Discovery begins its response to a held call and stops half-way. The call fails soon after, and not only at the end of
-     * its hold of 15 s or more: the update in the response would be missed for so long.
+     * Discovery begins its response to a held call and then stalls. The call has to fail soon after that, and not only
+     * at the end of its hold of at least 15 s: the proxy would miss the update in the response for that long.
      */
     @Test
-    void aStalledResponseEndsTheHold() throws Exception {
+    void aStalledResponseTimesOutBeforeTheEndOfTheHold() throws Exception {
         try (var proxy = new ProxyFixture(
                 watchingWithTimer(UpdateKind.DELTA, 6_000), c -> c.replace("\"balancers\":2", "\"balancers\":100"))) {
             RawConnection watch = proxy.answerWatchCall();
@@ -131,19 +133,22 @@
         }
     }
 
-    /** No descriptor is left for a call, so that no channel can be made. The call has failed like any other, and is retried. */
+    /**
+     * No file descriptor is left for a call, so that no channel can be created. The call fails like any other, and is
+     * retried.
+     */
     @Test
     void aCallWithoutADescriptorIsRetried() throws Exception {
         Transport sockets = Transport.sockets();
-        var failures = new AtomicInteger(1);
-        ChannelFactory<Channel> limitedFactory = () -> {
-            if (failures.getAndDecrement() > 0) {
+        var remainingFailures = new AtomicInteger(1);
+        ChannelFactory<Channel> failingFactory = () -> {
+            if (remainingFailures.getAndDecrement() > 0) {
                 throw new ChannelException("no descriptor is left");
             }
             return new NioSocketChannel();
         };
         var transport = new TransportWithClient(
-                sockets, new Bootstrap().group(sockets.loop()).channelFactory(limitedFactory));
+                sockets, new Bootstrap().group(sockets.loop()).channelFactory(failingFactory));
         try (var discovery = new ScriptedServer()) {
             ProxyConfig config =
                     ProxyConfig.parse(ProxyFixture.parseJson(ProxyFixture.configText(discovery.address())));
@@ -158,26 +163,26 @@
         }
     }
 
-    /** A transport whose connecting channels are others. */
-    private record TransportWithClient(Transport other, Bootstrap clientBootstrap) implements Transport {
+    /** Replaces the client bootstrap of another transport. */
+    private record TransportWithClient(Transport delegate, Bootstrap clientBootstrap) implements Transport {
         @Override
         public EventLoop loop() {
-            return other.loop();
+            return delegate.loop();
         }
 
         @Override
         public ServerBootstrap serverBootstrap() {
-            return other.serverBootstrap();
+            return delegate.serverBootstrap();
         }
 
         @Override
         public SocketAddress toSocketAddress(InetSocketAddress address) {
-            return other.toSocketAddress(address);
+            return delegate.toSocketAddress(address);
         }
 
         @Override
         public boolean hasNothingToRead(Channel channel) {
-            return other.hasNothingToRead(channel);
+            return delegate.hasNothingToRead(channel);
         }
     }
 }
--- a/src/test/java/gaugegw/proxy/discovery/DiscoveryQueryTest.java
+++ b/src/test/java/gaugegw/proxy/discovery/DiscoveryQueryTest.java
@@ -20,14 +20,17 @@
     }
 
     @Test
-    void sendsItsVersionAndHoldOnlyWhereThereIsAVersion() {
+    void sendsVersionAndHoldOnlyIfThereIsAVersion() {
         assertThat(FROM_VERSION_41.uri()).isEqualTo("/v1/endpoints?from=41&hold_ms=1500");
         assertThat(COMPLETE_LIST.uri()).isEqualTo("/v1/endpoints");
     }
 
-    /** Discovery has restarted, and its versions begin again: a delta below the version that was sent does not follow. */
+    /**
+     * Discovery has restarted, and its versions start again from a low number. A delta with a version below the one
+     * sent can't be applied.
+     */
     @Test
-    void acceptsADeltaOnlyIfItFollowsOnTheVersionSent() {
+    void acceptsNoDeltaBelowTheVersionSent() {
         assertThat(FROM_VERSION_41.accepts(delta(41))).isTrue();
         assertThat(FROM_VERSION_41.accepts(delta(43))).isTrue();
         assertThat(FROM_VERSION_41.accepts(delta(7))).isFalse();
--- a/src/test/java/gaugegw/proxy/discovery/DiscoveryTestSupport.java
+++ b/src/test/java/gaugegw/proxy/discovery/DiscoveryTestSupport.java
@@ -9,11 +9,13 @@
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
 
-/** Load balancers that watch the endpoint list, and configurations, for the tests of discovery. */
+/** Load balancers that watch the endpoint list, and an edit of the configuration, for the tests of discovery. */
 final class DiscoveryTestSupport {
     private DiscoveryTestSupport() {}
 
-    /** Watches the endpoints from its first event on, and again whenever a poll has failed. */
+    /**
+     * Returns a load balancer that starts a watch when it has the cached endpoints, and again after each failed poll.
+     */
     static ProxyFixture.StubLoadBalancer watching() {
         return (event, actions) -> {
             if (event instanceof EndpointUpdate update
@@ -24,8 +26,8 @@
     }
 
     /**
-     * As {@link #watching()}, with a timer that starts at the first update of a kind: the test then sees whether the event
-     * that it waits for is there before the timer fires.
+     * As {@link #watching()}, with a timer that starts at the first update of a kind. The test then checks that the
+     * event it expects arrives before that of the timer.
      */
     static ProxyFixture.StubLoadBalancer watchingWithTimer(UpdateKind startKind, long timerMs) {
         var timerSet = new boolean[1];
@@ -39,7 +41,7 @@
         };
     }
 
-    /** Returns a configuration with the address of a discovery in it. */
+    /** Returns a configuration in which the address of discovery is that of a given server. */
     static String discoveryAt(ScriptedServer discovery, String config) {
         return config.replaceFirst("discovery\":\"[^\"]+", "discovery\":\"" + discovery.address());
     }
--- a/src/test/java/gaugegw/proxy/discovery/EndpointWatcherTest.java
+++ b/src/test/java/gaugegw/proxy/discovery/EndpointWatcherTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The watch on the endpoint list, with discovery played by the test. */
+/** The watch of the endpoint list. The test acts as discovery. */
 class EndpointWatcherTest {
     private static RawConnection.Message readiness(ProxyFixture proxy) throws Exception {
         try (var client = proxy.connectClient()) {
@@ -29,8 +29,8 @@
     }
 
     /**
-     * A restarted proxy is not ready by its cached list alone: it becomes so with the first response of discovery. When
-     * discovery then removes its only endpoint, it is not ready any more.
+     * A restarted proxy is not ready with its cached list alone, but only after the first response of discovery. When
+     * discovery then removes the only endpoint, the proxy is no longer ready.
      */
     @Test
     void isReadyAfterTheFirstResponseWhileThereIsAnEndpoint() throws Exception {
@@ -44,7 +44,7 @@
             assertThat(call.read().firstLine()).isEqualTo("GET /v1/endpoints?from=41&hold_ms=0 HTTP/1.1");
             assertThat(readiness(proxy).status()).isEqualTo(503);
             call.send(ScriptedServer.ok(ProxyFixture.endpointListJson(41, false)));
-            // The watch continues at once, with a hold: a short one, so that a discovery that has vanished is noticed.
+            // The watch continues at once with a held call. The hold is short, so that a vanished discovery is noticed.
             RawConnection nextCall = proxy.discovery.accept();
             assertThat(nextCall.read().firstLine())
                     .matches("GET /v1/endpoints\\?from=41&hold_ms=1[1-5]\\d{2} HTTP/1.1");
@@ -58,8 +58,8 @@
     }
 
     /**
-     * A proxy restarts while discovery fails: it closes the connection, responds with an error or sends what is not HTTP.
-     * The proxy is ready by its cached list once its first call has failed.
+     * A proxy restarts while discovery closes connections, responds with an error status or sends something that is not
+     * HTTP. The proxy is ready with its cached list as soon as its first call has failed.
      */
     @ParameterizedTest
     @CsvSource({
@@ -70,7 +70,7 @@
         "on_request,'HTTP/1.1 503 Busy'",
         "on_request,'rubbish'"
     })
-    void isReadyByItsCachedListWhereTheFirstCallFails(String registryMode, String response) throws Exception {
+    void isReadyWithItsCachedListAfterTheFirstCallFails(String registryMode, String response) throws Exception {
         ProxyFixture.StubLoadBalancer watchingOnce = (event, actions) -> {
             if (event instanceof EndpointUpdate update && update.kind() == UpdateKind.CACHED) {
                 actions.accept(new WatchEndpoints(true));
@@ -114,12 +114,12 @@
     }
 
     /**
-     * A discovery does not hold calls: it returns at once, with an empty delta or with the same snapshot again. The proxy
+     * Discovery does not hold calls: it returns at once with an empty delta or with the same snapshot again. The proxy
      * calls it again soon enough for the watch to continue, but not in a tight loop.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void doesNotCallInATightLoopWhereDiscoveryHoldsNoCalls(boolean full) throws Exception {
+    void doesNotCallInATightLoopIfDiscoveryHoldsNoCalls(boolean full) throws Exception {
         String[] entries =
                 full ? new String[] {ProxyFixture.endpointJson("s7", "127.0.0.1:1", "ready")} : new String[0];
         try (var proxy = new ProxyFixture(watching())) {
@@ -136,11 +136,11 @@
     }
 
     /**
-     * Discovery restarts, and its versions begin again below that of the proxy's list: its deltas do not follow on that
-     * list. The proxy discards them and fetches the complete list until it has one.
+     * Discovery restarts, and its versions start again below that of the proxy's list, so that its deltas can't be
+     * applied. The proxy discards them and asks for the complete list until it receives one.
      */
     @Test
-    void fetchesTheCompleteListAfterAVersionGap() throws Exception {
+    void fetchesTheCompleteListIfADeltaCannotBeApplied() throws Exception {
         try (var proxy = new ProxyFixture(watching())) {
             RawConnection watch = proxy.answerWatchCall();
             watch.send(ScriptedServer.ok(
@@ -165,9 +165,9 @@
         }
     }
 
-    /** A snapshot has one valid entry among malformed ones. The valid one is applied, and the others are left out. */
+    /** A snapshot has one valid entry among malformed ones. The valid one is applied, and the others are ignored. */
     @Test
-    void leavesOutMalformedEntries() throws Exception {
+    void ignoresMalformedEntries() throws Exception {
         try (var proxy = new ProxyFixture(watching())) {
             proxy.awaitEvent(EndpointUpdate.class);
             RawConnection call = proxy.discovery.accept();
@@ -206,11 +206,12 @@
     }
 
     /**
-     * The load balancer fetches the complete list during a watch. The held call is cancelled, as an older update could
-     * arrive after a newer one; the watch fails with the fetch, and continues from the list that is fetched.
+     * The load balancer fetches the complete list during a watch. The held call is cancelled, because an older update
+     * could arrive after a newer one. The fetch fails, which ends the watch; when the complete list has arrived, the
+     * watch continues from it.
      */
     @Test
-    void aFetchReplacesTheCallOfTheWatch() throws Exception {
+    void aFetchReplacesTheHeldCall() throws Exception {
         try (var proxy = new ProxyFixture((event, actions) -> {
                     watching().handle(event, actions);
                     if (event instanceof RequestArrived a) {
--- a/src/test/java/gaugegw/proxy/discovery/LocalAgentTest.java
+++ b/src/test/java/gaugegw/proxy/discovery/LocalAgentTest.java
@@ -15,14 +15,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The watch where discovery is an agent on the proxy's own machine. */
+/** The watch if discovery is an agent on the proxy's own machine. */
 class LocalAgentTest {
     /**
-     * A local agent leaves five calls unanswered. What it has must be in force 1 s after it can be reached: two calls that
-     * fail, with the delay after each, take no longer, but for the first call of the process with 0.15 s more.
+     * A local agent does not respond to five calls. Its changes must be applied within 1 s after it can be reached: two
+     * failing calls and the delay after each take no longer than that, or 0.15 s more with the first call of the
+     * process.
      */
     @Test
-    void aLocalAgentIsRetriedInTimeThoughCallsFail() throws Exception {
+    void retriesALocalAgentInTimeAfterFailedCalls() throws Exception {
         try (var proxy =
                 new ProxyFixture(watchingWithTimer(UpdateKind.CACHED, 3_400), c -> c.replace("on_request", "pushed"))) {
             for (int i = 0; i < 5; i++) {
@@ -38,11 +39,11 @@
     }
 
     /**
-     * A local agent leaves the first call unanswered. It is called again without a hold, and the hold of its watch is short
-     * even in a fleet of 100 proxies, as its calls cost no other machine anything.
+     * A local agent does not respond to the first call. It is called again without a hold. The hold of its watch is
+     * short even in a fleet of 100 proxies, because its calls cause no load on other machines.
      */
     @Test
-    void aSilentLocalAgentIsRetriedAndItsHoldStaysShort() throws Exception {
+    void retriesASilentLocalAgentAndHoldsCallsBriefly() throws Exception {
         try (var proxy = new ProxyFixture(
                 watchingWithTimer(UpdateKind.CACHED, 2_500),
                 c -> c.replace("on_request", "pushed").replace("\"balancers\":2", "\"balancers\":100"))) {
@@ -59,8 +60,8 @@
     }
 
     /**
-     * A proxy restarts while its local agent has an update that is already in force. No client may connect before the
-     * response of the agent is applied: its requests would be forwarded by the cached list.
+     * A proxy restarts while its local agent has an update that must already be applied. No client may connect before
+     * the response of the agent has been applied: its requests would be forwarded according to the cached list.
      */
     @Test
     void acceptsNoClientBeforeTheFirstResponseOfALocalAgent() throws Exception {
--- a/src/test/java/gaugegw/proxy/dispatch/EventQueueTest.java
+++ b/src/test/java/gaugegw/proxy/dispatch/EventQueueTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The order in which events and actions follow one another. */
+/** The order in which events are delivered and actions executed. */
 class EventQueueTest {
     private final EventLoop loop = new DefaultEventLoop();
     private final List<String> steps = new ArrayList<>();
@@ -29,7 +29,8 @@
     }
 
     private void deliver(LoadBalancer loadBalancer, String token) {
-        queue = new EventQueue(new Clock(), loop, new RateLimitedLog(), loadBalancer, this::execute, this::failed);
+        queue = new EventQueue(
+                new Clock(), loop, new RateLimitedLog(), loadBalancer, this::execute, this::loadBalancerFailed);
         loop.submit(() -> queue.deliver(new TimerFired(token))).syncUninterruptibly();
     }
 
@@ -37,24 +38,29 @@
         return ((TimerFired) event).token();
     }
 
-    /** An action "event: x" causes the event x, and an action "throw" fails. */
+    /**
+     * Executes a log message as an instruction: "event: x" delivers a timer event with the token x, "throw" throws an
+     * exception, and any other text does nothing.
+     */
     private void execute(Action action) {
         String text = ((LogMessage) action).text();
         steps.add("action " + text);
         if (text.startsWith("event: ")) {
             queue.deliver(new TimerFired(text.substring("event: ".length())));
         } else if (text.equals("throw")) {
-            throw new IllegalStateException("as the test wants it");
+            throw new IllegalStateException("thrown by the test");
         }
     }
 
-    private void failed(Event event) {
+    private void loadBalancerFailed(Event event) {
         steps.add("failed " + token(event));
     }
 
-    /** The first of two actions causes an event. The event is delivered only after the second has been executed. */
+    /**
+     * The first of two actions causes an event. The event is delivered only after the second action has been executed.
+     */
     @Test
-    void anEventCausedByAnActionWaitsForTheOtherActions() {
+    void deliversAnEventOfAnActionAfterTheOtherActions() {
         deliver(
                 (now, event, actions) -> {
                     steps.add("event " + token(event));
@@ -67,9 +73,9 @@
         assertThat(steps).containsExactly("event first", "action event: second", "action other", "event second");
     }
 
-    /** An action fails. The other actions of its event are executed all the same. */
+    /** An action throws an exception. The other action of the event is still executed. */
     @Test
-    void aFailedActionDoesNotStopTheOthers() {
+    void executesTheOtherActionsAfterOneFails() {
         deliver(
                 (now, event, actions) -> {
                     actions.accept(new LogMessage("throw"));
@@ -79,13 +85,16 @@
         assertThat(steps).containsExactly("action throw", "action other");
     }
 
-    /** The load balancer throws after its first action. The failure is handled first, then the action is executed. */
+    /**
+     * The load balancer throws an exception after it has requested an action. The failure handler is called before the
+     * action is executed.
+     */
     @Test
-    void aFailureOfTheLoadBalancerIsHandledBeforeItsActions() {
+    void handlesAnExceptionBeforeExecutingTheActions() {
         deliver(
                 (now, event, actions) -> {
                     actions.accept(new LogMessage("other"));
-                    throw new IllegalStateException("as the test wants it");
+                    throw new IllegalStateException("thrown by the test");
                 },
                 "first");
         assertThat(steps).containsExactly("failed first", "action other");
--- a/src/test/java/gaugegw/proxy/dispatch/RequestDispatcherTest.java
+++ b/src/test/java/gaugegw/proxy/dispatch/RequestDispatcherTest.java
@@ -15,14 +15,14 @@
 import gaugegw.proxy.testing.ScriptedServer;
 import org.junit.jupiter.api.Test;
 
-/** What the proxy guarantees whatever the load balancer does, and how it executes actions. */
+/** What the proxy guarantees whatever the load balancer does, and how it executes the load balancer's actions. */
 class RequestDispatcherTest {
     /**
-     * The load balancer takes a request and never answers it. The proxy fails the request at its deadline, so that the
-     * client has a response before it gives up, and reports the client as gone.
+     * The load balancer never responds to a request. The proxy fails the request at its deadline, so that the client
+     * has a response before it gives up, and reports to the load balancer that the client has disconnected.
      */
     @Test
-    void failsARequestThatTheLoadBalancerNeverAnswers() throws Exception {
+    void failsARequestToWhichTheLoadBalancerNeverResponds() throws Exception {
         try (var proxy = new ProxyFixture((event, actions) -> {});
                 var client = proxy.connectClient()) {
             long sentNanos = System.nanoTime();
@@ -34,7 +34,7 @@
         }
     }
 
-    /** The load balancer throws on a request. That request fails, and the next one is served as usual. */
+    /** The load balancer throws an exception on a request. Only that request fails; the next one is served as usual. */
     @Test
     void anExceptionInTheLoadBalancerFailsOnlyItsRequest() throws Exception {
         try (var backend = new ScriptedServer();
@@ -42,7 +42,7 @@
                         (event, actions) -> {
                             if (event instanceof RequestArrived arrived
                                     && arrived.requestId().equals("bad")) {
-                                throw new IllegalStateException("as the test wants it");
+                                throw new IllegalStateException("thrown by the test");
                             }
                             ProxyFixture.singleAttemptTo("s0").handle(event, actions);
                         },
@@ -55,11 +55,11 @@
     }
 
     /**
-     * The load balancer starts two more attempts while the first is in flight, though hedging is not allowed. Both end as
-     * not sent, under their own numbers, and the first is served.
+     * The load balancer starts two more attempts while the first is in flight, although the settings do not permit
+     * hedging. Both end as not sent, each under its own number, and the first attempt is served.
      */
     @Test
-    void startsNoHedgedRequestWhereHedgingIsNotAllowed() throws Exception {
+    void startsNoSecondAttemptIfHedgingIsNotPermitted() throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(
                         (event, actions) -> {
@@ -84,9 +84,12 @@
         }
     }
 
-    /** The client disconnects, and the load balancer cancels its attempt: the connection to the backend is closed. */
+    /**
+     * The client disconnects, and the load balancer cancels its attempt. The proxy closes the connection to the backend
+     * and reports the attempt as cancelled.
+     */
     @Test
-    void cancelsAnAttemptWhenTheLoadBalancerDemandsIt() throws Exception {
+    void cancelsAnAttemptForTheLoadBalancer() throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(
                         (event, actions) -> {
--- a/src/test/java/gaugegw/proxy/dispatch/SimultaneousEventsTest.java
+++ b/src/test/java/gaugegw/proxy/dispatch/SimultaneousEventsTest.java
@@ -20,11 +20,19 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Two things that happen at once. The load balancer blocks the event loop until both have happened, so that the loop finds
- * them together when it goes on.
+ * Two things happen at the same time. The load balancer blocks the event loop until both have happened, so that the
+ * loop finds both when it continues.
  */
 class SimultaneousEventsTest {
-    /** Forwards as {@link ProxyFixture#sendTo} does, and blocks the event loop when the request of this id arrives. */
+    /**
+     * Returns a load balancer that makes one attempt for each request, as {@link ProxyFixture#singleAttemptTo} does,
+     * and blocks the event loop when a given request arrives.
+     *
+     * @param blockingId the id of the request
+     * @param unblock ends the block
+     * @param firstTimeoutUs the timeout of the attempt for request {@code r1}, in microseconds; 0 for the request's
+     *     deadline
+     */
     private static ProxyFixture.StubLoadBalancer blockingAt(
             String blockingId, CountDownLatch unblock, long firstTimeoutUs) {
         return (event, actions) -> {
@@ -39,18 +47,18 @@
 
     private static void awaitArrival(ProxyFixture proxy, String id) throws InterruptedException {
         while (!proxy.awaitEvent(RequestArrived.class).requestId().equals(id)) {
-            // an earlier request
+            // Skips an earlier request.
         }
     }
 
     /**
-     * A backend sends something unexpected on a pooled connection, or closes it, while the event loop is blocked; so the
-     * loop has not read it when the next request needs a connection. The request goes over a new connection: on the old
-     * one the unexpected bytes would pass for its response.
+     * While the event loop is blocked, a backend sends unexpected input on a pooled connection or closes it, so that
+     * the loop has not read this when the next request needs a connection. The request has to go over a new connection:
+     * on the old one, the unexpected bytes would be taken for its response.
      */
     @ParameterizedTest
     @ValueSource(strings = {"second response", "partial status line", "close", "reset"})
-    void aPooledConnectionWithUnreadInputIsNotReused(String input) throws Exception {
+    void doesNotReuseAPooledConnectionWithUnreadInput(String input) throws Exception {
         var unblock = new CountDownLatch(1);
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(blockingAt("r2", unblock, 0), ProxyFixture.LONG_TIMEOUTS, backend);
@@ -73,7 +81,7 @@
                     attempt.close();
                 }
             }
-            // A connection may be used again once it has been idle for some milliseconds.
+            // A connection is only reused after it has been idle for some milliseconds.
             ScriptedServer.await(() -> System.nanoTime() - answeredNanos > 20_000_000);
             backend.respondToAll(ScriptedServer.ok("y"));
             unblock.countDown();
@@ -85,11 +93,11 @@
     }
 
     /**
-     * The response of an attempt arrives at the moment at which the attempt times out. Whichever the loop sees first
-     * counts alone: the load balancer has one outcome and the client one response.
+     * The response of an attempt arrives at the moment at which the attempt times out. Only what the event loop sees
+     * first counts: the load balancer is notified of one outcome, and the client gets one response.
      */
     @Test
-    void aResponseArrivesAsItsAttemptTimesOut() throws Exception {
+    void reportsOneOutcomeIfAResponseArrivesAtTheTimeout() throws Exception {
         var unblock = new CountDownLatch(1);
         try (var backend = new ScriptedServer();
                 var proxy =
@@ -116,19 +124,19 @@
             proxy.awaitInputHandled();
             assertThat(proxy.events).noneMatch(AttemptEnded.class::isInstance);
             assertThat(proxy.openRequests()).isZero();
-            // A late response of the first request must not become that of the next one.
+            // A late response to the first request must not be taken for that of the next one.
             assertThat(client.send(ProxyFixture.getWithLongTimeout("r3")).read().body())
                     .isEqualTo("y");
         }
     }
 
     /**
-     * A client closes or resets its connection at the moment at which its response arrives. The load balancer is notified
-     * of the end of the attempt exactly once, and the proxy keeps nothing of the request.
+     * A client closes or resets its connection at the moment at which its response arrives. The load balancer is
+     * notified of the end of the attempt exactly once, and the proxy retains no state of the request.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aClientDisconnectsAsItsResponseArrives(boolean reset) throws Exception {
+    void reportsOneOutcomeIfTheClientDisconnectsAtTheResponse(boolean reset) throws Exception {
         var unblock = new CountDownLatch(1);
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(blockingAt("other", unblock, 0), ProxyFixture.LONG_TIMEOUTS, backend);
@@ -151,17 +159,17 @@
             proxy.awaitInputHandled();
             assertThat(proxy.events).noneMatch(AttemptEnded.class::isInstance);
             assertThat(proxy.openRequests()).isZero();
-            // One is left; the connection of settle() may take a moment to be closed.
+            // The other client is left; the connection of awaitInputHandled() may take a moment to be closed.
             ScriptedServer.await(() -> proxy.connectedClients() == 1);
         }
     }
 
     /**
      * A response arrives at the moment at which discovery lists its endpoint as draining. The client gets the response,
-     * but the connection is closed and no further attempt begins on that endpoint.
+     * but the connection to the endpoint is closed and no further attempt starts there.
      */
     @Test
-    void aResponseArrivesAsItsEndpointBeginsToDrain() throws Exception {
+    void forwardsTheResponseOfAnEndpointThatBeginsToDrain() throws Exception {
         var unblock = new CountDownLatch(1);
         ProxyFixture.StubLoadBalancer watching = ProxyFixture.singleAttemptWithWatch("s0");
         try (var backend = new ScriptedServer();
@@ -199,11 +207,11 @@
     }
 
     /**
-     * Requests are queued in the load balancer that runs in service when their endpoint begins to drain and another one
-     * becomes ready. However late capacity becomes free, all of them go to the ready endpoint.
+     * Requests are queued in the production load balancer when their endpoint begins to drain and another one becomes
+     * ready. Whenever capacity becomes free after that, the queued requests go to the ready endpoint.
      */
     @Test
-    void anEndpointDrainsWhileRequestsAreQueued() throws Exception {
+    void sendsQueuedRequestsToTheReadyEndpoint() throws Exception {
         var clients = new ArrayList<RawConnection>();
         try (var backend = new ScriptedServer();
                 var readyBackend = new ScriptedServer();
@@ -219,10 +227,10 @@
                     ProxyFixture.endpointJson("s1", readyBackend.address(), "ready"));
             readyBackend.respondToAll(ScriptedServer.ok("x"));
             while (proxy.awaitEvent(EndpointUpdate.class).kind() != UpdateKind.DELTA) {
-                // the cached list
+                // Skips the cached list.
             }
             proxy.awaitInputHandled();
-            // The attempts in flight end, which makes capacity for the queued requests.
+            // When the attempts in flight end, there is capacity for the queued requests.
             for (RawConnection client : clients.subList(0, sentCount)) {
                 backend.accept();
                 client.close();
