--- a/src/main/java/gaugegw/proxy/config/ConfigFileWatcher.java
+++ b/src/main/java/gaugegw/proxy/config/ConfigFileWatcher.java
@@ -15,18 +15,18 @@
  */
 public final class ConfigFileWatcher {
     /**
-     * Time between two polls, in milliseconds. When the discovery address changes, the old address closes its
-     * connections 1.5 s later, and from 4 s later on changes of the endpoint list must be applied. The proxy has to
-     * notice the new address well before either.
+     * Time between two polls, in milliseconds. When the file names a new discovery address, the old address closes its
+     * connections after 1.5 s, and after 4 s the proxy is required to apply endpoint changes. It has to read the new
+     * address well before either.
      */
     public static final long POLL_INTERVAL_MS = 200;
 
     /** Called on the thread that polls. */
     public interface Listener {
-        /** The file contains a configuration that differs from the one in use. */
+        /** Called when the file contains a configuration that differs from the one in use. */
         void configChanged(ProxyConfig config);
 
-        /** The file is missing or invalid; called once for each such state of the file. */
+        /** Called when the file is missing or invalid, once for each such state of the file. */
         void configRejected(Exception reason);
     }
 
@@ -105,13 +105,13 @@
     }
 
     /**
-     * Distinguishes a file that was replaced or written from what it was before.
+     * The state of the file, by which a poll recognizes that the file has been replaced or written.
      *
      * @param key identifies the file, for example by its inode
-     * @param sizeBytes the size of the file; -1 if the state is not that of a file
+     * @param sizeBytes the size of the file; -1 if there is no readable file
      */
     private record FileState(Object key, FileTime modified, long sizeBytes) {
-        /** Differs from the state of every file, and from that of a file that is missing. */
+        /** Stands for no state: differs from the state of every file, and from {@link #UNREADABLE}. */
         static final FileState NONE = noFile("none");
 
         private static final FileState UNREADABLE = noFile("unreadable");
--- a/src/main/java/gaugegw/proxy/config/InvalidConfigException.java
+++ b/src/main/java/gaugegw/proxy/config/InvalidConfigException.java
@@ -23,13 +23,13 @@
         this.expected = expected;
     }
 
-    /** The environment variable that names the configuration file is not set. */
+    /** Returns the exception for a missing environment variable, the one that names the configuration file. */
     public static InvalidConfigException variableNotSet(String variable) {
         return withoutField(
                 "the environment variable " + variable + ", which names the configuration file, is not set");
     }
 
-    /** The proxy can't listen on the address in {@code listen}. */
+    /** Returns the exception for an address in {@code listen} on which the proxy can't listen. */
     public static InvalidConfigException cannotListen(String address, Throwable cause) {
         return new InvalidConfigException(
                 "'listen': cannot listen on " + address + ": " + cause.getMessage(), "listen", address, NONE);
@@ -47,18 +47,22 @@
         return new InvalidConfigException("'" + field + "': missing or empty", field, NONE, NONE);
     }
 
-    /** A text, such as an address, can't be parsed. */
+    /** Returns the exception for a text, such as an address, that can't be parsed. */
     static InvalidConfigException malformed(String field, String found, String expected) {
         return new InvalidConfigException(
                 "'" + field + "': expected " + expected + ", found '" + found + "'", field, found, expected);
     }
 
-    /** A value is missing, of the wrong type or out of range. */
+    /** Returns the exception for a value that is missing, of the wrong type or out of range. */
     static InvalidConfigException invalidValue(String field, String found, String expected) {
         return new InvalidConfigException("'" + field + "': expected " + expected, field, found, expected);
     }
 
-    /** A setting is missing or invalid; the reason names it. */
+    /**
+     * Returns the exception for a setting that is missing or invalid.
+     *
+     * @param reason its message names the setting
+     */
     static InvalidConfigException settings(IllegalArgumentException reason) {
         return new InvalidConfigException("'settings': " + reason.getMessage(), "settings", NONE, NONE);
     }
--- a/src/main/java/gaugegw/proxy/discovery/CallTiming.java
+++ b/src/main/java/gaugegw/proxy/discovery/CallTiming.java
@@ -24,7 +24,7 @@
     /**
      * Timeout of a call to a local agent, in milliseconds, counted from the end of its hold. An agent responds at once,
      * and its changes must be applied within 1 s after it can be reached again. Two failing calls, each followed by a
-     * delay of {@link #AGENT_RETRY_DELAY_MS}, take that long.
+     * delay of {@link #AGENT_RETRY_DELAY_MS}, take just as long.
      */
     private static final long AGENT_CALL_TIMEOUT_MS = 450;
     /** Delay between a failed call to a local agent and the next call, in milliseconds. */
@@ -49,8 +49,9 @@
      */
     private static final long MIN_HOLD_MS = 1_500;
     /**
-     * Hold at a service for each proxy of the fleet, in milliseconds. All proxies share the service and each empty
-     * response costs it work, so the hold grows with the number of proxies to keep the load on the service constant.
+     * Hold of a call to a service, per proxy of the fleet, in milliseconds. All proxies share the service, and each
+     * empty response costs it work: the hold grows with the number of proxies, so that the load on the service does
+     * not.
      */
     private static final long HOLD_PER_PROXY_MS = 500;
 
@@ -69,8 +70,8 @@
     }
 
     /**
-     * Limits a hold to twice the poll interval. A call to a discovery that has vanished can't be told from a held call,
-     * so until its timeout the proxy would receive no update.
+     * Limits a hold to twice the poll interval. If discovery becomes unreachable during a held call, the proxy can't
+     * tell that from a lack of updates, and receives none until the timeout of the call.
      */
     private static long holdMs(BalancerSettings settings, long preferredMs) {
         long twicePollIntervalMs = 2 * settings.safetyLimits().pollIntervalUs() / 1_000;
--- a/src/main/java/gaugegw/proxy/discovery/DiscoveryCall.java
+++ b/src/main/java/gaugegw/proxy/discovery/DiscoveryCall.java
@@ -70,7 +70,7 @@
     /** Connects and sends the request. Called once, on the event loop. */
     void start() {
         assert transport.loop().inEventLoop();
-        // Without a timeout, a discovery that becomes unreachable would never be noticed: TCP does not report it.
+        // If discovery becomes unreachable without closing the connection, TCP never reports it: only the timeout does.
         scheduleTimeout(query.totalTimeoutMs());
         ChannelFuture connect = connect();
         channel = connect.channel();
--- a/src/main/java/gaugegw/proxy/discovery/DiscoveryFailure.java
+++ b/src/main/java/gaugegw/proxy/discovery/DiscoveryFailure.java
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Discovery sent a delta that can't be applied to the cached list. Its version is below that of the list, as after
-     * a restart of discovery, or there was no version to start from and a complete list was asked for.
+     * Discovery sent a delta that can't be applied to the proxy's list: its version is below that of the list, as after
+     * a restart of discovery, or the proxy had asked for the complete list.
      */
     record InapplicableDelta(long version) implements DiscoveryFailure {
         @Override
--- a/src/main/java/gaugegw/proxy/discovery/DiscoveryQuery.java
+++ b/src/main/java/gaugegw/proxy/discovery/DiscoveryQuery.java
@@ -5,8 +5,8 @@
 /**
  * The parameters of a call to discovery.
  *
- * @param fromVersion the version of the cached list, to which discovery sends the updates; empty to fetch the complete
- *     list, which discovery sends at once
+ * @param fromVersion the version of the list that the proxy has, which asks for the updates after it; empty to ask for
+ *     the complete list, which discovery sends at once
  * @param holdMs how long discovery may hold the call while there is no update, in milliseconds; 0 if it has to respond
  *     at once
  * @param timeoutMs the timeout, in milliseconds, counted from the end of the hold; also limits the time to connect and
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Returns whether a list can be applied to the cached one. A snapshot always can; a delta can unless its version is
-     * below the version that was sent, or none was sent.
+     * Returns whether a list can be applied to the one that the proxy has. A snapshot always can; a delta can if a
+     * version was sent and the version of the delta is not below it.
      */
     boolean accepts(EndpointList list) {
         return list.full() || (fromVersion.isPresent() && list.version() >= fromVersion.getAsLong());
--- a/src/main/java/gaugegw/proxy/discovery/EndpointWatcher.java
+++ b/src/main/java/gaugegw/proxy/discovery/EndpointWatcher.java
@@ -30,8 +30,8 @@
     public static final long FIRST_SERVICE_CALL_TIMEOUT_MS = CallTiming.FIRST_SERVICE_CALL_TIMEOUT_MS;
 
     /**
-     * Delay before the next call when a call that could be held has returned without an update, in milliseconds.
-     * Without it, a discovery that does not hold calls would be called as fast as the CPU allows. The delay is well
+     * Delay before the next call when a call that could be held has returned without an update, in milliseconds. If
+     * discovery does not hold calls, this keeps the proxy from calling it as fast as the CPU allows. The delay is well
      * below 200 ms, the time within which the next call has to arrive for a watch to continue.
      */
     private static final long EMPTY_RESPONSE_DELAY_MS = 50;
@@ -58,7 +58,7 @@
      */
     private DiscoveryCall call;
 
-    /** The version of the cached list; empty if the next call has to fetch the complete list. */
+    /** The version of the list that the proxy has; empty if the next call has to fetch the complete list. */
     private OptionalLong version = OptionalLong.empty();
 
     /**
@@ -130,7 +130,7 @@
     }
 
     /**
-     * Calls discovery at another address from now on. The cached endpoints stay in use until the new address has sent
+     * Calls discovery at another address from now on. The current endpoints stay in use until the new address has sent
      * its complete list. A delta would not do, because its versions may differ from those of the old address.
      */
     public void changeAddress(InetSocketAddress newAddress) {
@@ -166,7 +166,7 @@
     }
 
     /**
-     * Sends a call that returns at once, with the updates since the cached version or, if there is no version, with the
+     * Sends a call that returns at once, with the updates since the proxy's version or, if it has no version, with the
      * complete list.
      */
     private void callWithoutHold() {
@@ -181,7 +181,7 @@
     }
 
     private void listReceived(DiscoveryCall endedCall, EndpointList list) {
-        boolean hasUpdate = !isCached(list.version()) && !list.endpoints().isEmpty();
+        boolean hasUpdate = !isCurrent(list.version()) && !list.endpoints().isEmpty();
         version = OptionalLong.of(list.version());
         if (!watching) {
             call = null;
@@ -196,7 +196,7 @@
         firstCallPromise.trySuccess(null);
     }
 
-    private boolean isCached(long listVersion) {
+    private boolean isCurrent(long listVersion) {
         return version.isPresent() && version.getAsLong() == listVersion;
     }
 
--- a/src/main/java/gaugegw/proxy/discovery/package-info.java
+++ b/src/main/java/gaugegw/proxy/discovery/package-info.java
@@ -22,7 +22,7 @@
  * <h2>Ownership of state</h2>
  *
  * <ul>
- *   <li>{@code EndpointWatcher}: the address of discovery, the version of the cached list, and the call in flight.
+ *   <li>{@code EndpointWatcher}: the address of discovery, the version of the proxy's list, and the call in flight.
  *   <li>{@code DiscoveryCall}: its connection and its timeout. The connection is closed and the timeout cancelled
  *       before it notifies its listener.
  * </ul>
--- a/src/test/java/gaugegw/proxy/discovery/DiscoveryAddressChangeTest.java
+++ b/src/test/java/gaugegw/proxy/discovery/DiscoveryAddressChangeTest.java
@@ -12,7 +12,7 @@
 class DiscoveryAddressChangeTest {
     /**
      * A reload changes the address of discovery. The proxy at once fetches the complete list from the new address, and
-     * uses the cached endpoints until it has arrived.
+     * keeps using its current endpoints until it has arrived.
      */
     @Test
     void fetchesTheCompleteListFromTheNewAddress() throws Exception {
--- a/src/test/java/gaugegw/proxy/discovery/EndpointWatcherTest.java
+++ b/src/test/java/gaugegw/proxy/discovery/EndpointWatcherTest.java
@@ -44,7 +44,7 @@
             assertThat(call.read().firstLine()).isEqualTo("GET /v1/endpoints?from=41&hold_ms=0 HTTP/1.1");
             assertThat(readiness(proxy).status()).isEqualTo(503);
             call.send(ScriptedServer.ok(ProxyFixture.endpointListJson(41, false)));
-            // The watch continues at once with a held call. The hold is short, so that a vanished discovery is noticed.
+            // The watch continues at once with a held call. Its hold is short, to notice an unreachable discovery.
             RawConnection nextCall = proxy.discovery.accept();
             assertThat(nextCall.read().firstLine())
                     .matches("GET /v1/endpoints\\?from=41&hold_ms=1[1-5]\\d{2} HTTP/1.1");
