--- a/src/main/java/gaugegw/proxy/discovery/DiscoveryCall.java
+++ b/src/main/java/gaugegw/proxy/discovery/DiscoveryCall.java
@@ -44,7 +44,7 @@
     private final InetSocketAddress address;
     private final DiscoveryQuery query;
     private final Listener listener;
-    private ScheduledFuture<?> timeout;
+    private ScheduledFuture<?> timeoutTimer;
     private Channel channel;
     private boolean responseStarted;
     private boolean ended;
@@ -104,7 +104,7 @@
     /** Ends the call without notifying its listener. Has no effect if the call has already ended. */
     void cancel() {
         ended = true;
-        timeout.cancel(false);
+        timeoutTimer.cancel(false);
         // A channel that could not be created is not open, and has no event loop on which it could be closed.
         if (channel.isOpen()) {
             channel.close();
@@ -112,7 +112,7 @@
     }
 
     private void scheduleTimeout(long delayMs) {
-        timeout =
+        timeoutTimer =
                 transport.loop().schedule(() -> fail(new DiscoveryFailure.TimedOut()), delayMs, TimeUnit.MILLISECONDS);
     }
 
@@ -122,8 +122,8 @@
      */
     private void responseStarted() {
         responseStarted = true;
-        if (timeout.getDelay(TimeUnit.MILLISECONDS) > query.timeoutMs()) {
-            timeout.cancel(false);
+        if (timeoutTimer.getDelay(TimeUnit.MILLISECONDS) > query.timeoutMs()) {
+            timeoutTimer.cancel(false);
             scheduleTimeout(query.timeoutMs());
         }
     }
--- a/src/main/java/gaugegw/proxy/dispatch/RequestDispatcher.java
+++ b/src/main/java/gaugegw/proxy/dispatch/RequestDispatcher.java
@@ -75,24 +75,24 @@
     /** Accepts a request. The sink is called before this returns or later, unless the client disconnects first. */
     public void requestArrived(ClientRequest clientRequest, ResponseSink responseSink) {
         assert loop.inEventLoop();
-        long now = clock.nowUs();
+        long nowUs = clock.nowUs();
         if (terminating) {
             responseSink.sendRejection(0);
             return;
         }
-        if (now >= clientRequest.deadlineAtUs()) {
+        if (nowUs >= clientRequest.deadlineAtUs()) {
             responseSink.sendFailure();
             return;
         }
         var request = new DispatchedRequest(clientRequest, responseSink);
         requests.add(request);
-        overdueTimer.start(request, now);
+        overdueTimer.start(request, nowUs);
         events.deliver(new Event.RequestArrived(
                 clientRequest.id(),
                 clientRequest.requestClass(),
                 clientRequest.tenant(),
-                clientRequest.key(),
-                clientRequest.deadlineAtUs() - now,
+                clientRequest.affinityKey(),
+                clientRequest.deadlineAtUs() - nowUs,
                 clientRequest.retry()));
     }
 
@@ -119,11 +119,12 @@
     @Override
     public void endpointsUpdated(UpdateKind kind, List<ListedEndpoint> listed) {
         assert loop.inEventLoop();
-        List<UpstreamAttempt> unsent = kind == UpdateKind.POLL_FAILED ? List.of() : upstream.applyUpdate(kind, listed);
+        List<UpstreamAttempt> unwritten =
+                kind == UpdateKind.POLL_FAILED ? List.of() : upstream.applyUpdate(kind, listed);
         events.deliver(new Event.EndpointUpdate(
                 kind, listed.stream().map(ListedEndpoint::endpoint).toList()));
         // After the event: when the load balancer retries these, it knows the new list and chooses other endpoints.
-        unsent.forEach(attempt -> attempt.abort(AttemptOutcome.NOT_SENT));
+        unwritten.forEach(attempt -> attempt.abort(AttemptOutcome.NOT_SENT));
     }
 
     private void failIfOpen(DispatchedRequest request) {
--- a/src/test/java/gaugegw/proxy/dispatch/RequestDispatcherTest.java
+++ b/src/test/java/gaugegw/proxy/dispatch/RequestDispatcherTest.java
@@ -89,7 +89,7 @@
      * and reports the attempt as cancelled.
      */
     @Test
-    void cancelsAnAttemptForTheLoadBalancer() throws Exception {
+    void closesTheConnectionOfACancelledAttempt() throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(
                         (event, actions) -> {
--- a/src/test/java/gaugegw/proxy/dispatch/SimultaneousEventsTest.java
+++ b/src/test/java/gaugegw/proxy/dispatch/SimultaneousEventsTest.java
@@ -69,7 +69,7 @@
             attempt.send(ScriptedServer.ok("x"));
             assertThat(client.read().status()).isEqualTo(200);
             assertThat(proxy.awaitEvent(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.SUCCESS);
-            long answeredNanos = System.nanoTime();
+            long respondedNanos = System.nanoTime();
             client.send(ProxyFixture.getWithLongTimeout("r2"));
             awaitArrival(proxy, "r2");
             switch (input) {
@@ -82,7 +82,7 @@
                 }
             }
             // A connection is only reused after it has been idle for some milliseconds.
-            ScriptedServer.await(() -> System.nanoTime() - answeredNanos > 20_000_000);
+            ScriptedServer.await(() -> System.nanoTime() - respondedNanos > 20_000_000);
             backend.respondToAll(ScriptedServer.ok("y"));
             unblock.countDown();
             assertThat(client.read().body()).isEqualTo("y");
