--- a/src/test/java/gaugegw/proxy/transport/ConnectionLimiterTest.java
+++ b/src/test/java/gaugegw/proxy/transport/ConnectionLimiterTest.java
@@ -8,24 +8,24 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How many connections are accepted and opened at any moment; the loop's tasks run only where a test runs them. */
+/** Limits on accepted and opened connections. Tasks of the event loop run only when a test runs them. */
 class ConnectionLimiterTest {
     private static final int DESCRIPTOR_LIMIT = 128;
-    /** What the runtime and discovery need, at least. */
+    /** The minimum number of descriptors that must be left for the runtime and for calls to discovery. */
     private static final int RESERVED_DESCRIPTORS = 24;
 
-    /** Not the listener's, whose loop runs whenever it begins to read. */
+    /** Provides the limiter's event loop. The loop of {@link #listener} won't do: it runs when that begins to read. */
     private final EmbeddedChannel loop = new EmbeddedChannel();
 
     private final EmbeddedChannel listener = new EmbeddedChannel();
     private final ConnectionLimiter limiter = new ConnectionLimiter(loop.eventLoop(), DESCRIPTOR_LIMIT);
     private final List<Channel> clients = new ArrayList<>();
 
-    /** Connects clients for as long as the proxy accepts any, so many in each turn of the loop. */
-    private void connectClients(int perTurn) {
+    /** Connects clients until accepting is paused; that many are accepted in each iteration of the event loop. */
+    private void connectClients(int perIteration) {
         limiter.setListeningChannel(listener);
         while (listener.config().isAutoRead()) {
-            for (int i = 0; i < perTurn; i++) {
+            for (int i = 0; i < perIteration; i++) {
                 var client = new EmbeddedChannel();
                 clients.add(client);
                 limiter.clientOpened(client);
@@ -33,7 +33,8 @@
         }
     }
 
-    private int openBackends() {
+    /** Opens as many connections to backends as the limiter allows; returns their number. */
+    private int openBackendConnections() {
         int opened = 0;
         while (opened < DESCRIPTOR_LIMIT && limiter.makeRoomForBackend()) {
             limiter.backendOpened(new EmbeddedChannel());
@@ -43,44 +44,46 @@
     }
 
     /**
-     * Clients connect in a burst, and are too new to be evicted. They must not take the descriptors that their requests
-     * need for connections to backends.
+     * Clients connect in a burst and are too new to be evicted. If they used up all descriptors, there would be none
+     * left for the connections to backends that their requests need.
      */
     @Test
-    void aBurstOfClientsLeavesDescriptorsForBackends() {
+    void burstOfClientsLeavesDescriptorsForBackends() {
         connectClients(1);
-        assertThat(openBackends()).isPositive();
+        assertThat(openBackendConnections()).isPositive();
     }
 
     @Test
-    void keepsWithinTheLimit() {
+    void connectionsStayWithinDescriptorLimit() {
         connectClients(1);
-        int backends = openBackends();
+        int backends = openBackendConnections();
         assertThat(backends + clients.stream().filter(Channel::isOpen).count())
                 .isBetween(DESCRIPTOR_LIMIT / 2L, (long) DESCRIPTOR_LIMIT - RESERVED_DESCRIPTORS);
     }
 
     /**
-     * All connections to backends that the limit allows are open as clients connect in a burst. Fewer clients are
-     * accepted then.
+     * Clients connect in a burst while all connections to backends that the limit allows are open. The proxy must
+     * accept fewer clients then, or it would exceed the limit.
      */
     @Test
-    void aBurstOfClientsBesideOpenBackendsKeepsWithinTheLimit() {
-        int backends = openBackends();
+    void burstOfClientsBesidesOpenBackendConnectionsStaysWithinDescriptorLimit() {
+        int backends = openBackendConnections();
         connectClients(SocketTransport.MAX_ACCEPTS_PER_ITERATION);
         assertThat(clients).isNotEmpty();
         assertThat(backends + clients.size()).isLessThanOrEqualTo(DESCRIPTOR_LIMIT - RESERVED_DESCRIPTORS);
     }
 
     /**
-     * Clients disconnect in the same turn of the loop in which connections to backends are opened. The closed ones keep
-     * their descriptors until the selector's next turn, and count until then.
+     * Clients disconnect in the same iteration of the event loop in which connections to backends are opened. The
+     * descriptors of the closed connections are not released until the selector runs next, so they must count until
+     * then.
      */
     @Test
     void closedConnectionsCountUntilTheirDescriptorsAreReleased() {
         connectClients(SocketTransport.MAX_ACCEPTS_PER_ITERATION);
         clients.forEach(Channel::close);
-        assertThat(openBackends() + clients.size()).isLessThanOrEqualTo(DESCRIPTOR_LIMIT - RESERVED_DESCRIPTORS);
+        assertThat(openBackendConnections() + clients.size())
+                .isLessThanOrEqualTo(DESCRIPTOR_LIMIT - RESERVED_DESCRIPTORS);
         assertThat(listener.config().isAutoRead()).isFalse();
         loop.runPendingTasks();
         loop.runScheduledPendingTasks();
--- a/src/test/java/gaugegw/proxy/transport/DescriptorReserveTest.java
+++ b/src/test/java/gaugegw/proxy/transport/DescriptorReserveTest.java
@@ -25,14 +25,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Many clients without a request leave descriptors to discovery, to readiness checks and to requests. */
+/** Clients without a request must leave descriptors for calls to discovery, readiness checks and requests. */
 class DescriptorReserveTest {
     private static final int DESCRIPTOR_LIMIT = 128;
     private static final int MANY_CLIENTS = 400;
-    /** The runtime's message where the kernel grants no descriptor. */
-    private static final String NO_DESCRIPTOR = "Too many open files";
+    /** The message of the Java runtime when the kernel refuses another descriptor. */
+    private static final String NO_DESCRIPTOR_MESSAGE = "Too many open files";
 
-    private static final String READY = "GET /ready HTTP/1.1\r\n\r\n";
+    private static final String READINESS_CHECK = "GET /ready HTTP/1.1\r\n\r\n";
 
     private final List<RawConnection> clients = new ArrayList<>();
 
@@ -43,21 +43,21 @@
         }
     }
 
-    /** Connects clients that each send a text. */
-    private void connect(int port, int count, String sent) throws IOException {
+    /** Connects clients that each send the same text. */
+    private void connectClients(int port, int count, String sent) throws IOException {
         for (int i = 0; i < count; i++) {
             RawConnection client = RawConnection.connectTo(port);
             clients.add(client);
             try {
                 client.send(sent);
             } catch (IOException e) {
-                // The proxy has evicted it already.
+                // The proxy has already evicted this client.
             }
         }
     }
 
-    /** Returns whether a request on a new connection is answered with a status. */
-    private static boolean answers(int port, String request, int status) {
+    /** Sends a request on a new connection; returns whether the response has the given status. */
+    private static boolean getsResponse(int port, String request, int status) {
         try (RawConnection client = RawConnection.connectTo(port)) {
             RawConnection.Message response = client.send(request).read();
             return response != null && response.status() == status;
@@ -66,26 +66,28 @@
         }
     }
 
-    /** What a client has sent: nothing, a request whose response leaves the connection idle, or half a request. */
-    private static String sentBy(String kind) {
+    /** Returns what a client of a kind sends: nothing, a complete request that leaves it idle, or half a request. */
+    private static String bytesSentBy(String kind) {
         return switch (kind) {
             case "silent" -> "";
-            case "idle" -> READY;
+            case "idle" -> READINESS_CHECK;
             default -> ProxyFixture.post("half", "body").replace("body", "bo");
         };
     }
 
     /**
-     * Hundreds of clients connect and have no complete request in flight: they are silent, idle or in the middle of a
-     * request. Discovery may close its first call besides. The proxy gets its endpoint list and serves all the same.
+     * Hundreds of clients connect that send nothing, become idle or send half a request. In some cases discovery closes
+     * the first call as well. If these clients used up the descriptors, the proxy could neither get its endpoint list
+     * nor serve other clients.
      */
     @ParameterizedTest
     @CsvSource({"silent,false", "silent,true", "idle,false", "idle,true", "half,false", "half,true"})
-    void getsItsEndpointListAndServesBesideManyClients(String kind, boolean discoveryCloses) throws Exception {
+    void receivesEndpointListAndServesRequestsDespiteManyClients(String kind, boolean discoveryCloses)
+            throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = ProxyFixture.withRealLoadBalancer(DESCRIPTOR_LIMIT)) {
             backend.respondToAll(ScriptedServer.ok("served"));
-            connect(proxy.address.getPort(), MANY_CLIENTS, sentBy(kind));
+            connectClients(proxy.address.getPort(), MANY_CLIENTS, bytesSentBy(kind));
             if (discoveryCloses) {
                 proxy.discovery.accept().close();
             }
@@ -93,31 +95,32 @@
             assertThat(proxy.connectedClients()).isPositive();
             proxy.discovery.respondToAll(ScriptedServer.ok(ProxyFixture.endpointListJson(
                     42, true, ProxyFixture.endpointJson("s0", backend.address(), "ready"))));
-            ScriptedServer.await(() -> answers(proxy.address.getPort(), READY, 200));
-            assertThat(answers(proxy.address.getPort(), ProxyFixture.get("r1"), 200))
+            ScriptedServer.await(() -> getsResponse(proxy.address.getPort(), READINESS_CHECK, 200));
+            assertThat(getsResponse(proxy.address.getPort(), ProxyFixture.get("r1"), 200))
                     .isTrue();
         }
     }
 
     /**
-     * Backends send bytes on idle connections in the same turn of the loop in which attempts acquire them. Such a
-     * connection is closed instead of used, but keeps its descriptor for now. Another is opened in its place only where
-     * the budget allows, so that the last of the attempts is not sent.
+     * Backends send unexpected bytes on idle connections in the same iteration of the event loop in which attempts
+     * acquire these connections. Each is closed instead of reused, but its descriptor is not released yet. Another one
+     * may be opened in its place only within the limit, which is reached here: one attempt is not sent. The request
+     * "blocker" blocks the event loop in the load balancer until all other requests have been sent.
      */
     @Test
     @Timeout(30)
-    void aConnectionInPlaceOfAClosedOneNeedsADescriptorToo() throws Exception {
+    void replacementForClosedConnectionNeedsFreeDescriptor() throws Exception {
         int backends = DescriptorBudget.of(DESCRIPTOR_LIMIT).softConnectionLimit() / 2;
         int requests = backends - 1;
-        var blockerMayEnd = new CountDownLatch(1);
-        var unrequestedBytesSent = new CountDownLatch(1);
-        ProxyFixture.StubLoadBalancer module = (event, actions) -> {
+        var releaseBlocker = new CountDownLatch(1);
+        var unexpectedBytesSent = new CountDownLatch(1);
+        ProxyFixture.StubLoadBalancer loadBalancer = (event, actions) -> {
             if (event instanceof RequestArrived a && a.requestId().equals("blocker")) {
-                ScriptedServer.await(blockerMayEnd);
+                ScriptedServer.await(releaseBlocker);
                 actions.accept(new Reject(a.requestId(), 0));
             } else if (event instanceof RequestArrived a) {
                 if (a.requestId().startsWith("again")) {
-                    ScriptedServer.await(unrequestedBytesSent);
+                    ScriptedServer.await(unexpectedBytesSent);
                 }
                 ProxyFixture.singleAttemptTo("s" + a.requestId().replaceAll("\\D", ""))
                         .handle(event, actions);
@@ -127,11 +130,11 @@
         };
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(
-                        module,
+                        loadBalancer,
                         DESCRIPTOR_LIMIT,
                         15_000_000,
                         Collections.nCopies(backends, backend).toArray(ScriptedServer[]::new))) {
-            connectWithRequests(proxy, "first", backends);
+            connectClientsWithRequest(proxy, "first", backends);
             var attempts = new ArrayList<RawConnection>();
             for (int i = 0; i < backends; i++) {
                 attempts.add(backend.accept());
@@ -145,20 +148,20 @@
             disconnectClients();
             clients.clear();
             ScriptedServer.await(() -> proxy.connectedClients() == 0 && System.nanoTime() - answeredAtNs > 20_000_000);
-            connect(proxy.address.getPort(), requests, "");
+            connectClients(proxy.address.getPort(), requests, "");
             ScriptedServer.await(() -> proxy.connectedClients() == requests);
-            connectWithRequests(proxy, "blocker", 1);
-            // All are read in one turn of the loop, and the backends' bytes arrive in the middle of it.
+            connectClientsWithRequest(proxy, "blocker", 1);
+            // All of these are read in one iteration of the event loop, during which the backends send their bytes.
             for (int i = 0; i < requests; i++) {
                 clients.get(i).send(ProxyFixture.getWithLongTimeout("again" + i));
             }
-            blockerMayEnd.countDown();
+            releaseBlocker.countDown();
             proxy.awaitEvent(RequestArrived.class);
             for (RawConnection attempt : attempts) {
                 attempt.send("not requested");
             }
             backend.respondToAll(ScriptedServer.ok("x"));
-            unrequestedBytesSent.countDown();
+            unexpectedBytesSent.countDown();
             var outcomes = new ArrayList<AttemptOutcome>();
             for (int i = 0; i < requests; i++) {
                 outcomes.add(proxy.awaitEvent(AttemptEnded.class).outcome());
@@ -167,20 +170,20 @@
         }
     }
 
-    /** Connects clients that each send a request, and waits until all requests have arrived. */
-    private void connectWithRequests(ProxyFixture proxy, String name, int count) throws Exception {
+    /** Connects clients one by one; each sends a request, and the next one connects when the proxy has received it. */
+    private void connectClientsWithRequest(ProxyFixture proxy, String name, int count) throws Exception {
         for (int i = 0; i < count; i++) {
-            connect(proxy.address.getPort(), 1, ProxyFixture.getWithLongTimeout(count == 1 ? name : name + i));
+            connectClients(proxy.address.getPort(), 1, ProxyFixture.getWithLongTimeout(count == 1 ? name : name + i));
             proxy.awaitEvent(RequestArrived.class);
         }
     }
 
     /**
-     * Many clients of each kind connect while all connections to backends are open. The kernel enforces the limit: were
-     * one descriptor too many wanted, an open would fail and be logged.
+     * Many clients of each kind connect while connections to many backends are open. The kernel enforces the limit: if
+     * the process needed one descriptor too many, opening it would fail, and the failure would be logged.
      */
     @Test
-    void theProcessKeepsWithinItsLimit(@TempDir Path folder) throws Exception {
+    void processStaysWithinDescriptorLimit(@TempDir Path folder) throws Exception {
         int maxDescriptors = DESCRIPTOR_LIMIT + ProxyProcess.EXTRA_JARS;
         try (var backend = new ScriptedServer();
                 var discovery = new ScriptedServer();
@@ -191,51 +194,51 @@
                     .toArray(String[]::new);
             discovery.respondToAll(ScriptedServer.ok(ProxyFixture.endpointListJson(42, true, entries)));
             int port = proxy.awaitPort();
-            ScriptedServer.await(() -> answers(port, READY, 200));
+            ScriptedServer.await(() -> getsResponse(port, READINESS_CHECK, 200));
             assertThat(proxy.openJars()).isEqualTo(1 + ProxyProcess.EXTRA_JARS);
-            // Idle connections to backends first, as many as it keeps.
+            // First fill the proxy's pools with idle connections to backends.
             var requests = new int[1];
             ScriptedServer.await(() -> {
-                answers(port, ProxyFixture.get("r" + requests[0]++), 200);
+                getsResponse(port, ProxyFixture.get("r" + requests[0]++), 200);
                 return proxy.openDescriptors() > maxDescriptors - DESCRIPTOR_LIMIT / 2;
             });
             for (String kind : List.of("silent", "half", "idle")) {
-                connect(port, MANY_CLIENTS, sentBy(kind));
+                connectClients(port, MANY_CLIENTS, bytesSentBy(kind));
                 assertThat(proxy.openDescriptors()).isLessThanOrEqualTo(maxDescriptors);
-                ScriptedServer.await(() -> answers(port, ProxyFixture.get(kind), 200));
+                ScriptedServer.await(() -> getsResponse(port, ProxyFixture.get(kind), 200));
             }
-            assertThat(proxy.hasLogged(NO_DESCRIPTOR)).isFalse();
+            assertThat(proxy.hasLogged(NO_DESCRIPTOR_MESSAGE)).isFalse();
         }
     }
 
     /**
-     * The kernel grants far fewer descriptors than the configuration states, and clients use them up. The process logs
-     * the failure, although it can't open any file for that, and serves again once the clients have disconnected.
+     * The kernel grants far fewer descriptors than the configuration states, and clients use them up. The process must
+     * log the failure, although it can't open any file to do so, and serve again when the clients have disconnected.
      */
     @Test
-    void aLackOfDescriptorsDoesNotEndTheProcess(@TempDir Path folder) throws Exception {
+    void processSurvivesLackOfDescriptors(@TempDir Path folder) throws Exception {
         try (var discovery = new ScriptedServer();
                 var proxy = startWithTooFewDescriptors(folder, discovery)) {
             int port = proxy.awaitPort();
-            connect(port, DESCRIPTOR_LIMIT, "");
-            proxy.awaitLog(NO_DESCRIPTOR);
+            connectClients(port, DESCRIPTOR_LIMIT, "");
+            proxy.awaitLog(NO_DESCRIPTOR_MESSAGE);
             disconnectClients();
-            ScriptedServer.await(() -> answers(port, READY, 503));
+            ScriptedServer.await(() -> getsResponse(port, READINESS_CHECK, 503));
         }
     }
 
     /**
-     * Clients use up all descriptors, and the call to discovery ends. The next call finds no descriptor and fails; it is
-     * repeated, and gets through once the clients have disconnected.
+     * Clients use up all descriptors, and the call to discovery ends. The next call gets no descriptor and fails. It
+     * must be retried, and succeed when the clients have disconnected.
      */
     @Test
-    void aCallToDiscoveryWithoutADescriptorIsRetried(@TempDir Path folder) throws Exception {
+    void discoveryCallIsRetriedAfterLackOfDescriptors(@TempDir Path folder) throws Exception {
         try (var discovery = new ScriptedServer();
                 var proxy = startWithTooFewDescriptors(folder, discovery)) {
             int port = proxy.awaitPort();
             RawConnection watch = discovery.accept();
             watch.read();
-            connect(port, DESCRIPTOR_LIMIT, "");
+            connectClients(port, DESCRIPTOR_LIMIT, "");
             ScriptedServer.await(() -> proxy.openDescriptors() == DESCRIPTOR_LIMIT / 2);
             watch.close();
             proxy.awaitLog("no connection");
--- a/src/test/java/gaugegw/proxy/upstream/LearnedIdleLimitTest.java
+++ b/src/test/java/gaugegw/proxy/upstream/LearnedIdleLimitTest.java
@@ -5,26 +5,26 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The idle time up to which connections are used, learned from synthetic requests with a fixed seed. */
+/** The idle time above which connections are not reused, learned from synthetic requests with a fixed seed. */
 class LearnedIdleLimitTest {
     private static final long US_PER_MS = 1_000;
 
     private final LearnedIdleLimit limit = new LearnedIdleLimit();
     private final Random random = new Random(1);
 
-    /** Records requests on connections that were idle for so long, of which a share is reset. */
-    private void record(int requests, long idleUs, double resetShare) {
+    /** Records requests on connections that were idle for the given time; each is reset with the given probability. */
+    private void record(int requests, long idleUs, double resetRate) {
         for (int i = 0; i < requests; i++) {
-            limit.record(idleUs, random.nextDouble() < resetShare);
+            limit.record(idleUs, random.nextDouble() < resetRate);
         }
     }
 
     /**
-     * A few requests are reset after any idle time, and far more of them after 130 ms: something drops idle
-     * connections. Connections idle for so long, or longer, must not be used, and those idle for less must.
+     * A few requests are reset after any idle time, but many more after 130 ms, because something drops idle
+     * connections. Connections that were idle for that long or longer must not be allowed, those idle for less must be.
      */
     @Test
-    void limitIsBelowTheIdleTimeAfterWhichRequestsAreReset() {
+    void idleTimesWithManyResetsAreNotAllowed() {
         for (int round = 0; round < 40; round++) {
             record(10, 0, 0.05);
             record(30, 20 * US_PER_MS, 0.05);
@@ -38,9 +38,9 @@
         assertThat(limit.allows(80 * US_PER_MS)).isTrue();
     }
 
-    /** Resets that are as common on new connections have another cause: giving up idle connections would not help. */
+    /** If requests on new connections are reset as often, idle time is not the cause, and a limit would not help. */
     @Test
-    void resetsRegardlessOfIdleTimeSetNoLimit() {
+    void resetsThatDoNotDependOnIdleTimeSetNoLimit() {
         for (int round = 0; round < 100; round++) {
             record(10, 0, 0.05);
             record(30, 20 * US_PER_MS, 0.05);
@@ -50,11 +50,11 @@
     }
 
     /**
-     * The cause of the resets may have been mended: after many requests without resets, long idle times are tried
-     * again.
+     * What caused the resets may have been repaired. After many requests without resets, long idle times must be
+     * allowed again.
      */
     @Test
-    void limitIsLiftedAsObservationsFade() {
+    void limitIsLiftedAsOldResetsDecay() {
         record(100, 0, 0);
         record(5, 130 * US_PER_MS, 1);
         assertThat(limit.allows(130 * US_PER_MS)).isFalse();
--- a/src/test/java/gaugegw/proxy/upstream/UpstreamAttemptOutcomeTest.java
+++ b/src/test/java/gaugegw/proxy/upstream/UpstreamAttemptOutcomeTest.java
@@ -15,13 +15,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The outcome of an attempt. The decision module retries a request that is not idempotent only where the outcome proves
- * that the backend has not executed it: such an outcome must be reported only where that is certain.
+ * The outcome of an attempt. The load balancer retries a request that is not idempotent only if the outcome proves that
+ * the backend has not executed it, so such an outcome must be reported only if that is certain.
  */
 class UpstreamAttemptOutcomeTest {
     /**
-     * Only a 503 or 504 whose backend says so proves that the request was not executed. If any other error were taken
-     * for a rejection, a retry could execute the request twice.
+     * Only a 503 or 504 with {@code X-Not-Processed: 1} proves that the request was not executed. If any other error
+     * were classified as a rejection, a retry could execute the request twice.
      */
     @ParameterizedTest
     @CsvSource({
@@ -45,8 +45,8 @@
     }
 
     /**
-     * A backend takes the complete request and its connection ends before the response is complete. The request may
-     * have been executed, so the outcome is a reset and not a failed connect.
+     * A backend receives the complete request, and its connection is closed before the response is complete. The
+     * request may have been executed, so the outcome must be a reset and not a connect failure.
      */
     @ParameterizedTest
     @CsvSource({
@@ -55,7 +55,7 @@
         "'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf'",
         "'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n'"
     })
-    void connectionBrokenAfterTheCompleteRequestIsAReset(String partialResponse) throws Exception {
+    void connectionClosedAfterCompleteRequestIsReset(String partialResponse) throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
                 var client = proxy.connectClient()) {
@@ -70,12 +70,12 @@
     }
 
     /**
-     * A response without a length is complete when its connection ends in order. If a reset were taken for that end,
-     * the client would be served a response that is cut short.
+     * A response without a length is complete when the backend closes its connection normally. If a reset were taken
+     * for such a close, the client would get a truncated response.
      */
     @ParameterizedTest
     @CsvSource({"false,SUCCESS,200", "true,RESET,502"})
-    void responseWithoutLengthIsCompleteOnlyAtTheEndOfItsConnection(boolean reset, AttemptOutcome outcome, int status)
+    void responseWithoutLengthIsCompleteOnlyIfConnectionIsNotReset(boolean reset, AttemptOutcome outcome, int status)
             throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
@@ -93,9 +93,9 @@
         }
     }
 
-    /** The backend refuses the connection: no byte was sent, and a retry is safe. */
+    /** The backend refuses the connection. No byte was sent, so a retry is safe. */
     @Test
-    void refusedConnectionIsAFailedConnect() throws Exception {
+    void refusedConnectionIsConnectFailure() throws Exception {
         var backend = new ScriptedServer();
         backend.close();
         try (var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
@@ -107,11 +107,11 @@
     }
 
     /**
-     * Something was received, so the request may have been executed. If the connection were kept, the response behind
-     * the malformed one would be served to another request.
+     * A malformed response is received, so the request may have been executed. If the connection were reused, the
+     * response after the malformed one would be served to another request.
      */
     @Test
-    void malformedResponseIsAnErrorAndClosesTheConnection() throws Exception {
+    void malformedResponseIsErrorAndClosesConnection() throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
                 var client = proxy.connectClient()) {
@@ -124,8 +124,8 @@
     }
 
     /**
-     * The backend executes the request and responds with what is no valid or no complete response. If the attempt
-     * waited for its timeout, there would be no time left for a retry.
+     * The backend sends a response that is invalid or incomplete. If the attempt ended only at its timeout, there would
+     * be no time left for a retry.
      */
     @ParameterizedTest
     @ValueSource(
@@ -144,7 +144,7 @@
                 "HTTP/1.1 200 OK\r\nX-Pad: p\r\n",
                 "\0noise without end"
             })
-    void invalidResponseIsAnErrorAtOnce(String response) throws Exception {
+    void invalidResponseIsErrorBeforeTimeout(String response) throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
                 var client = proxy.connectClient()) {
@@ -160,21 +160,21 @@
     /** A faulty backend sends interim responses or headers without end. Without a limit they would fill the memory. */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 103 Early Hints\r\n\r\n", "X-Pad: pppppppp\r\n"})
-    void endlessResponseIsAbortedBySize(String repeated) throws Exception {
+    void endlessResponseIsAbortedAtSizeLimit(String repeated) throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
                 var client = proxy.connectClient()) {
             RawConnection attempt = backend.sendAndAcceptAttempt(client, "r1");
-            // The connection may be closed before all of this is written.
+            // In the background, as the proxy may close the connection before all of this is written.
             ScriptedServer.runInBackground(() ->
                     attempt.send((repeated.startsWith("HTTP") ? "" : "HTTP/1.1 200 OK\r\n") + repeated.repeat(10_000)));
             assertThat(proxy.awaitEvent(AttemptEnded.class).outcome()).isEqualTo(AttemptOutcome.ERROR);
         }
     }
 
-    /** A response body is longer than 64 KiB, the most that the protocol allows: the attempt ends with an error. */
+    /** A response body is longer than the maximum of 64 KiB: the attempt must end with an error. */
     @Test
-    void responseBodyOverTheLimitIsAnError() throws Exception {
+    void responseBodyOverSizeLimitIsError() throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
                 var client = proxy.connectClient()) {
@@ -185,11 +185,11 @@
     }
 
     /**
-     * An attempt times out and is retried elsewhere. If its connection were still open, two attempts of one request
-     * would be in flight.
+     * An attempt times out and is retried on another backend. If its connection were still open then, two attempts of
+     * the same request would be in flight.
      */
     @Test
-    void timeoutClosesTheConnectionBeforeTheNextAttempt() throws Exception {
+    void timeoutClosesConnectionBeforeRetry() throws Exception {
         try (var slow = new ScriptedServer();
                 var other = new ScriptedServer();
                 var proxy = new ProxyFixture(
--- a/src/test/java/gaugegw/proxy/upstream/UpstreamConnectionReuseTest.java
+++ b/src/test/java/gaugegw/proxy/upstream/UpstreamConnectionReuseTest.java
@@ -14,14 +14,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Which connections are used again. A connection that brings bytes which no attempt waits for, or that the backend may
- * have dropped, must not carry another attempt: it would be given a foreign response, or be reset.
+ * Reuse of connections to backends. A connection must not be reused after unexpected bytes were received on it, or the
+ * next attempt would get the response to another request; nor if the backend may have dropped it, or the attempt would
+ * be reset.
  */
 class UpstreamConnectionReuseTest {
     private static final String OK_X = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx";
 
-    /** Waits until a connection that has brought a response may be used again. */
-    private static void settle() throws InterruptedException {
+    /** Waits until a connection may be reused after a response. */
+    private static void awaitReuseDelay() throws InterruptedException {
         long startNs = System.nanoTime();
         while (System.nanoTime() - startNs < 20_000_000) {
             Thread.sleep(1);
@@ -29,11 +30,11 @@
     }
 
     /**
-     * A backend drops idle connections without a sign, and resets the requests that it receives on them. The proxy
-     * learns the idle time after which that happens and opens new connections instead.
+     * A backend silently drops idle connections and resets the requests that it receives on them. The proxy must learn
+     * after which idle time that happens, and open new connections instead.
      */
     @Test
-    void connectionsResetAfterIdleTimeAreNotUsedAgain() throws Exception {
+    void connectionIsNotReusedAfterIdleTimeThatCausesResets() throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
                 var client = proxy.connectClient()) {
@@ -50,7 +51,7 @@
             });
             int resets = 0;
             for (int served = 0; served < 2; ) {
-                settle();
+                awaitReuseDelay();
                 client.send(ProxyFixture.get("r" + resets + "-" + served));
                 served = client.read().status() == 200 ? served + 1 : 0;
                 resets += served == 0 ? 1 : 0;
@@ -60,8 +61,8 @@
     }
 
     /**
-     * A backend hangs now and then, and the proxy closes the connection at the timeout. If that counted as a reset
-     * after idle time, the proxy would stop using idle connections that are sound.
+     * A backend sometimes does not respond, and the proxy closes the connection at the timeout of the attempt. If that
+     * counted as a reset after idle time, the proxy would no longer reuse idle connections that work.
      */
     @Test
     void timeoutsDoNotCountAsResetsOfIdleConnections() throws Exception {
@@ -83,7 +84,7 @@
                 attempt.read();
                 attempt.send(OK_X);
                 assertThat(client.read().status()).isEqualTo(200);
-                settle();
+                awaitReuseDelay();
                 client.send(ProxyFixture.get("hangs" + i));
                 assertThat(attempt.read().header("X-Request-ID")).isEqualTo("hangs" + i);
                 assertThat(client.read().status()).isEqualTo(502);
@@ -93,8 +94,8 @@
     }
 
     /**
-     * Behind a valid response there are more bytes. The response is served, but the connection is closed: the bytes
-     * would be taken for the next response.
+     * More bytes follow a valid response. The response must be served, but the connection must be closed: otherwise the
+     * bytes would be taken for the response to the next attempt.
      */
     @ParameterizedTest
     @ValueSource(
@@ -103,7 +104,7 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx\r\n\0\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nxHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\ny"
             })
-    void bytesBehindAResponseCloseItsConnection(String response) throws Exception {
+    void bytesAfterResponseCloseConnection(String response) throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
                 var client = proxy.connectClient()) {
@@ -115,8 +116,9 @@
     }
 
     /**
-     * Interim responses and unreadable load reports are no fault: the connection is used for the next attempt. It is
-     * closed as soon as bytes come that no attempt waits for, even less than a line of them.
+     * Interim responses or a load report that can't be parsed are no reason to close a connection: it must be reused
+     * for the next attempt. It must be closed as soon as bytes arrive that no attempt waits for, even if they are less
+     * than a line.
      */
     @ParameterizedTest
     @ValueSource(
@@ -124,19 +126,19 @@
                 "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + OK_X,
                 "HTTP/1.1 200 OK\r\nX-Server-Load: TEXT ?\r\nContent-Length: 1\r\n\r\nx"
             })
-    void validResponseIsServedAndItsConnectionKept(String response) throws Exception {
+    void connectionIsReusedUntilUnexpectedBytesArrive(String response) throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
                 var client = proxy.connectClient()) {
             RawConnection attempt = backend.sendAndAcceptAttempt(client, "r1");
             attempt.send(response);
             assertThat(client.read().body()).isEqualTo("x");
-            settle();
+            awaitReuseDelay();
             client.send(ProxyFixture.get("r2"));
             assertThat(attempt.read().header("X-Request-ID")).isEqualTo("r2");
             attempt.send(OK_X);
             assertThat(client.read().body()).isEqualTo("x");
-            // No attempt waits for a response: whatever follows on this connection belongs to no request.
+            // No attempt waits for a response now, so these bytes belong to no request.
             attempt.send("noise");
             assertThat(attempt.awaitClose()).isTrue();
         }
@@ -159,11 +161,11 @@
     }
 
     /**
-     * An idle connection is used for the next attempt, until the decision module has the idle connections
+     * An idle connection must be reused for the next attempt, until the load balancer requests that idle connections be
      * closed.
      */
     @Test
-    void keepsIdleConnectionsUntilTheyAreClosedByTheModule() throws Exception {
+    void reusesIdleConnectionUntilLoadBalancerClosesIt() throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(
                         (event, actions) -> {
@@ -181,7 +183,7 @@
                 first.read();
                 first.send(ScriptedServer.ok("x"));
                 assertThat(client.read().status()).isEqualTo(200);
-                settle();
+                awaitReuseDelay();
                 client.send(ProxyFixture.get(next));
             }
             assertThat(first.awaitClose()).isTrue();
@@ -191,8 +193,8 @@
     }
 
     /**
-     * A request that crosses the backend's close of an idle connection is reset and may have been executed. So this
-     * side closes an idle connection well before the backend does.
+     * If the backend closes an idle connection while a request is on the way, the request is reset and may have been
+     * executed. So the proxy must close an idle connection well before the backend does.
      */
     @Test
     void closesIdleConnectionsBeforeTheBackendDoes() throws Exception {
--- a/src/test/java/gaugegw/proxy/upstream/UpstreamEndpointUpdateTest.java
+++ b/src/test/java/gaugegw/proxy/upstream/UpstreamEndpointUpdateTest.java
@@ -11,14 +11,15 @@
 import gaugegw.proxy.testing.ScriptedServer;
 import org.junit.jupiter.api.Test;
 
-/** What an update of the endpoint list does to the attempts and connections of an endpoint. */
+/** Effects of an endpoint list update on the attempts and connections of an endpoint. */
 class UpstreamEndpointUpdateTest {
     /**
-     * An endpoint begins to drain while an attempt still waits for its connection. No attempt may begin on a draining
-     * endpoint later than the grace period, so the attempt is aborted unsent.
+     * An endpoint begins to drain while an attempt is still waiting for its connection. No attempt may begin on an
+     * endpoint that has been draining for longer than the grace period, so the attempt must be aborted before its
+     * request is sent.
      */
     @Test
-    void drainingEndpointAbortsAttemptsThatStillConnect() throws Exception {
+    void drainingAbortsAttemptThatIsStillConnecting() throws Exception {
         try (var full = new FullBacklog();
                 var proxy = new ProxyFixture(ProxyFixture.singleAttemptWithWatch("s1"), ProxyFixture.LONG_TIMEOUTS);
                 var client = proxy.connectClient()) {
@@ -33,11 +34,11 @@
     }
 
     /**
-     * The id identifies a backend, and its address may change. If the connections to the old address were kept,
-     * requests would go on to what is no longer that backend.
+     * The address of a backend may change while its id stays the same. If the connections to the old address were kept,
+     * requests would be sent to a server that is no longer this backend.
      */
     @Test
-    void endpointWithANewAddressIsSentNothingAtTheOldOne() throws Exception {
+    void requestsGoToNewAddressOnlyAfterAddressChange() throws Exception {
         try (var oldServer = new ScriptedServer();
                 var newServer = new ScriptedServer();
                 var proxy = new ProxyFixture(ProxyFixture.singleAttemptWithWatch("s0"), 1_024, 60_000_000, oldServer);
