--- a/src/main/java/gaugegw/proxy/client/ClientConnection.java
+++ b/src/main/java/gaugegw/proxy/client/ClientConnection.java
@@ -16,44 +16,53 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * One client's connection: reads its requests, has one exchange at a time, in the order of the requests, and applies
- * the time limits. How it ends is up to its {@link ClosingSequence}. It is the first handler of its channel and adds
- * the others. Used on the event loop only.
+ * A client's connection: reads its requests, handles them one at a time in the order in which they arrive, and enforces
+ * the time limits. Its {@link ClosingSequence} closes it. This is the first handler in the pipeline of its channel and
+ * adds the others. Used on the event loop only.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-    /** A connection without a request is closed after this time, in microseconds: clients may rely on 2 s. */
+    /**
+     * Time after which a connection without a request is closed, in microseconds. Clients may rely on an idle
+     * connection staying open for 2 s.
+     */
     private static final long IDLE_TIMEOUT_US = 2_200_000;
     /**
-     * Time for a request to be received completely, in microseconds, from its first byte or, for the first one, from the
-     * connect: a client that sends no valid request is owed an error or a close within 3 s.
+     * Time within which a request must be received completely, in microseconds. It starts with the first byte of the
+     * request or, until the connection's first response, with the connect. A client that sends no valid request must
+     * get an error or a close within 3 s.
      */
     private static final long REQUEST_TIMEOUT_US = 2_200_000;
-    /** A client that reads nothing of its response for so long has gone, in microseconds. */
+    /**
+     * Time after the end of an exchange, in microseconds, after which the connection is closed if the client has not
+     * read enough for its responses to be written to the socket: such a client is assumed to be gone.
+     */
     private static final long WRITE_TIMEOUT_US = 10_000_000;
-    /** The longest time that a connection is read from after its last response, in microseconds. */
+    /** Maximum time for which a connection is still read after its last response was written, in microseconds. */
     private static final long LINGER_TIMEOUT_US = 1_000_000;
     /**
-     * A client that has read its last response has closed by then: a round trip, of 50 ms in either direction by the
-     * allowance that the protocol makes on every time limit. A graceful shutdown does not wait for it any longer.
+     * Maximum time for which a graceful shutdown waits for a lingering connection, in microseconds. A client that has
+     * read its last response has closed the connection by then: this is one round trip, with the 50 ms in each
+     * direction that the protocol allows on every time limit.
      */
-    private static final long CLIENT_CLOSE_US = 100_000;
+    private static final long SHUTDOWN_LINGER_TIMEOUT_US = 100_000;
     /**
-     * A channel that was read so recently is not read again before an attempt. No attempt may begin 100 ms after the
-     * client's close has been received; this is well below that.
+     * Minimum time between two reads of the channel, in microseconds: {@link #detectDisconnect} does not read a channel
+     * that was read more recently. No attempt may begin 100 ms or more after the client's close was received; this
+     * value is well below that.
      */
-    private static final long RECENT_READ_US = 20_000;
+    private static final long MIN_READ_INTERVAL_US = 20_000;
 
     private final ClientContext context;
     private final Channel channel;
     private final StrictRequestDecoder decoder = new StrictRequestDecoder();
-    private final PipelinedRequests pipelined = new PipelinedRequests();
+    private final PipelinedRequests pipelinedRequests = new PipelinedRequests();
     private final RequestArrival arrival;
     private final ClosingSequence closing;
-    /** The exchange whose response comes next; null if there is none. */
+    /** The exchange whose response is written next; null if no request is being handled. */
     private ClientExchange exchange;
     /** When the channel was last read, on the proxy's clock. */
     private long lastReadAtUs;
-    /** The connect or the end of the last exchange, on the proxy's clock. */
+    /** When the client connected or, later, when the last exchange ended, on the proxy's clock. */
     private long idleSinceUs;
 
     private boolean hasResponded;
@@ -81,10 +90,10 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
-        if (pipelined.hasOverflow() || !closing.isOpen()) {
-            countUnserved(((ByteBuf) message).readableBytes());
+        if (pipelinedRequests.hasOverflow() || !closing.isOpen()) {
+            countUnservedBytes(((ByteBuf) message).readableBytes());
         }
-        if (!closing.isOpen() || closing.isClientFinished()) {
+        if (!closing.isOpen() || closing.hasClientOutputEnded()) {
             ReferenceCountUtil.release(message);
             return;
         }
@@ -92,15 +101,16 @@
         super.channelRead(ctx, message);
     }
 
-    private void countUnserved(int bytes) {
-        if (!closing.exceedsUnserved(bytes)) {
+    private void countUnservedBytes(int bytes) {
+        if (!closing.addUnservedBytes(bytes)) {
             return;
         }
         if (closing.isLingering()) {
             channel.close();
-        } else if (!closing.isClientFinished()) {
-            // Its close would lie unread behind what it sends, and such a client does not wait for a response.
-            clientFinished();
+        } else if (!closing.hasClientOutputEnded()) {
+            // The client's close would stay unread behind these bytes. A client that sends so many of them does not
+            // wait for its response, so it is handled as if it had ended its output.
+            clientOutputEnded();
         }
     }
 
@@ -111,21 +121,22 @@
     }
 
     /**
-     * Reads the channel, unless it was read recently, so that a close which lies unread while the event loop is busy is
-     * noticed. One read takes a limited number of bytes; a close behind more than that stays unnoticed.
+     * Detects a client's close that has been received but not read yet, because the event loop was busy: reads the
+     * channel, unless it was read recently. One read takes a limited number of bytes; a close that follows more bytes
+     * than that is not detected.
      */
     void detectDisconnect() {
         assert channel.eventLoop().inEventLoop();
-        if (channel.isActive() && context.clock().nowUs() - lastReadAtUs >= RECENT_READ_US) {
+        if (channel.isActive() && context.clock().nowUs() - lastReadAtUs >= MIN_READ_INTERVAL_US) {
             Transport.readNow(channel);
         }
         if (!channel.isActive()) {
-            // channelInactive follows as a task, too late for the attempt that is about to begin.
+            // Netty calls channelInactive in a later task, which is too late for the attempt that is about to begin.
             abandonExchange();
         }
     }
 
-    /** Takes a complete request, and releases it once it is responded to. */
+    /** Takes ownership of a complete request and handles it. */
     void requestReceived(FullHttpRequest request) {
         if (!closing.isOpen() || !channel.isActive()) {
             request.release();
@@ -133,17 +144,17 @@
         }
         if (request.decoderResult().isFailure()) {
             request.release();
-            endWithError(PlainTextResponse.badRequest("malformed request"));
+            rejectAndClose(PlainTextResponse.badRequest("malformed request"));
             return;
         }
-        var next = new ClientExchange(context, this, request, arrival.complete());
+        var next = new ClientExchange(context, this, request, arrival.requestCompleted());
         if (exchange == null) {
             context.limiter().clientBusy(channel);
             exchange = next;
-            // As a task: by then everything received is read, and a client that has closed is known to have.
+            // Begins in a later task: by then all received bytes have been read, and with them a close by the client.
             channel.eventLoop().execute(next::begin);
         } else {
-            pipelined.add(next);
+            pipelinedRequests.add(next);
         }
     }
 
@@ -157,9 +168,9 @@
         return channel.isActive();
     }
 
-    /** Returns whether no response follows the one to the current exchange. */
+    /** Returns whether the current exchange is followed by neither a pipelined request nor a final error. */
     boolean isLastExchange() {
-        return pipelined.isEmpty() && !closing.hasFinalError();
+        return pipelinedRequests.isEmpty() && !closing.hasFinalError();
     }
 
     /** Writes the response to the current exchange and begins the next exchange, or closes the connection. */
@@ -168,17 +179,17 @@
         ChannelFuture written = channel.writeAndFlush(response);
         hasResponded = true;
         idleSinceUs = context.clock().nowUs();
-        exchange = keepAlive ? pipelined.poll() : null;
+        exchange = keepAlive ? pipelinedRequests.poll() : null;
         if (!keepAlive) {
             closing.closeAfter(written);
         } else if (exchange != null) {
             exchange.begin();
-        } else if (pipelined.hasOverflow()) {
+        } else if (pipelinedRequests.hasOverflow()) {
             rejectOverflow();
         } else if (closing.hasFinalError()) {
             closing.sendFinalError();
         } else {
-            // Not before it is written: an idle connection may be evicted, and the response would be cut off.
+            // Only once the response is written: an idle connection may be evicted, which would cut the response off.
             written.addListener(f -> markIdle());
         }
     }
@@ -189,70 +200,79 @@
         }
     }
 
-    /** Responds to each request of the overflow, in order; the last of these responses is the connection's last. */
+    /**
+     * Rejects each request in the overflow with a response of its own, in order. The connection is closed after the
+     * final error or, where there is none, after the last of these responses.
+     */
     private void rejectOverflow() {
         if (!closing.hasFinalError()) {
             closing.deferFinalError(PlainTextResponse.tooManyRequests());
-            pipelined.removeOverflow();
+            pipelinedRequests.removeOneFromOverflow();
         }
-        while (pipelined.hasOverflow()) {
+        while (pipelinedRequests.hasOverflow()) {
             channel.write(PlainTextResponse.tooManyRequests());
-            pipelined.removeOverflow();
+            pipelinedRequests.removeOneFromOverflow();
         }
         closing.sendFinalError();
     }
 
-    /** Responds to the current exchange with an error and ends the connection: no request behind it is dispatched. */
+    /**
+     * Responds to the current exchange with an error and closes the connection. The pipelined requests are rejected,
+     * not dispatched.
+     */
     void respondWithErrorAndClose(FullHttpResponse error) {
         exchange = null;
-        pipelined.overflowWaiting();
-        if (pipelined.hasOverflow()) {
+        pipelinedRequests.moveWaitingToOverflow();
+        if (pipelinedRequests.hasOverflow()) {
             channel.write(error);
             rejectOverflow();
         } else if (closing.hasFinalError()) {
             channel.write(error);
             closing.sendFinalError();
         } else {
-            endWithError(error);
+            rejectAndClose(error);
         }
     }
 
-    /** Responds with an error to what is no valid request, after the requests before it, and reads no further. */
-    void endWithError(FullHttpResponse error) {
+    /**
+     * Rejects input that is not a valid request, and closes the connection. The error is sent after the responses to
+     * the requests before it; no further input is decoded.
+     */
+    void rejectAndClose(FullHttpResponse error) {
         if (!closing.isOpen()) {
             error.release();
             return;
         }
         closing.deferFinalError(error);
-        // What the decoder holds, and what is received from here on, is not decoded any more.
+        // From here on nothing is decoded, neither the bytes that the decoder has buffered nor those still to come.
         channel.pipeline().remove(decoder);
         if (exchange == null) {
             closing.sendFinalError();
         }
     }
 
-    // The client's end
+    // End of the client's output, and disconnect
 
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
         if (event instanceof ChannelInputShutdownEvent) {
-            clientFinished();
+            clientOutputEnded();
         }
         super.userEventTriggered(ctx, event);
     }
 
-    boolean hasClientFinished() {
-        return closing.isClientFinished();
+    boolean hasClientOutputEnded() {
+        return closing.hasClientOutputEnded();
     }
 
     /**
-     * The client sends nothing more. It has probably gone, so that no more work is done for it; but it may only have
-     * shut down its output, so that each request that it has sent completely is still responded to.
+     * Handles the end of the client's output. The client has probably gone, so no more work is done for it. But it may
+     * have shut down its output alone and still read, so each request that it has sent completely gets a response.
      */
-    private void clientFinished() {
-        closing.setClientFinished();
+    private void clientOutputEnded() {
+        closing.setClientOutputEnded();
         if (exchange != null) {
-            exchange.clientFinished();
+            exchange.clientOutputEnded();
         } else {
             closing.closeAfterPendingWrites();
         }
@@ -261,8 +281,8 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) throws Exception {
         context.connections().remove(this);
-        pipelined.releaseWaiting();
-        closing.release();
+        pipelinedRequests.releaseWaiting();
+        closing.releaseFinalError();
         abandonExchange();
         super.channelInactive(ctx);
     }
@@ -283,33 +303,36 @@
         }
     }
 
-    /** Ends the connection if it has exceeded a time limit; none applies while there is an exchange. */
-    void expire(long nowUs) {
+    /**
+     * Closes the connection, or rejects its incomplete request, if it has exceeded a time limit. No limit applies
+     * during an exchange.
+     */
+    void enforceTimeLimits(long nowUs) {
         if (exchange != null) {
             return;
         }
         if (closing.isLingering()) {
-            expireLingering(closing.lingeringForUs(nowUs));
+            enforceLingerTimeouts(closing.lingeringForUs(nowUs));
         } else if (arrival.isIncomplete() && !closing.isClosing()) {
-            expireIncompleteRequest(nowUs);
+            enforceRequestTimeout(nowUs);
         } else if (nowUs - idleSinceUs > (hasUnwrittenData() ? WRITE_TIMEOUT_US : IDLE_TIMEOUT_US)) {
             channel.close();
         }
     }
 
-    private void expireLingering(long lingeringUs) {
+    private void enforceLingerTimeouts(long lingeringUs) {
         if (lingeringUs > LINGER_TIMEOUT_US) {
             channel.close();
-        } else if (lingeringUs > CLIENT_CLOSE_US) {
+        } else if (lingeringUs > SHUTDOWN_LINGER_TIMEOUT_US) {
             context.connections().stopAwaiting(this);
         }
     }
 
-    /** The limit is for the complete request: a client that sends a byte now and then does not renew it. */
-    private void expireIncompleteRequest(long nowUs) {
+    /** Rejects a request that is not complete in time. A client can't extend the limit by sending single bytes. */
+    private void enforceRequestTimeout(long nowUs) {
         long sinceUs = hasResponded ? arrival.firstByteAtUs() : idleSinceUs;
         if (nowUs - sinceUs > REQUEST_TIMEOUT_US) {
-            endWithError(PlainTextResponse.of(
+            rejectAndClose(PlainTextResponse.of(
                     HttpResponseStatus.REQUEST_TIMEOUT, "the request was not received completely in time"));
         }
     }
--- a/src/main/java/gaugegw/proxy/client/ClientConnectionRegistry.java
+++ b/src/main/java/gaugegw/proxy/client/ClientConnectionRegistry.java
@@ -4,11 +4,14 @@
 import java.util.List;
 import java.util.Set;
 
-/** The connections of clients that are not closed yet. Used on the event loop only. */
+/** All open connections of clients. Used on the event loop only. */
 final class ClientConnectionRegistry {
-    /** Those on which a client may still send a request, wait for a response or read one. */
+    /** The connections on which a client may still send a request, wait for a response or read one. */
     private final Set<ClientConnection> active = new HashSet<>();
-    /** Those closed for sending whose client has not closed in the time that it needs for that. */
+    /**
+     * The connections whose output the proxy has shut down and that the client has not closed in the time that it needs
+     * for that.
+     */
     private final Set<ClientConnection> lingering = new HashSet<>();
 
     void add(ClientConnection connection) {
@@ -20,7 +23,7 @@
         lingering.remove(connection);
     }
 
-    /** A graceful shutdown does not wait for this connection any longer; it still expires. */
+    /** Makes a graceful shutdown stop waiting for a connection; its time limits still apply. */
     void stopAwaiting(ClientConnection connection) {
         if (active.remove(connection)) {
             lingering.add(connection);
@@ -32,11 +35,11 @@
         return active.size();
     }
 
-    /** Applies the time limits of all connections. */
-    void expire(long nowUs) {
-        // Copies, as a connection may be moved or removed meanwhile.
-        List.copyOf(lingering).forEach(connection -> connection.expire(nowUs));
-        List.copyOf(active).forEach(connection -> connection.expire(nowUs));
+    /** Enforces the time limits of all connections. */
+    void enforceTimeLimits(long nowUs) {
+        // Iterates over copies, as connections may be moved or removed meanwhile.
+        List.copyOf(lingering).forEach(connection -> connection.enforceTimeLimits(nowUs));
+        List.copyOf(active).forEach(connection -> connection.enforceTimeLimits(nowUs));
     }
 
     void closeIdle() {
--- a/src/main/java/gaugegw/proxy/client/ClientContext.java
+++ b/src/main/java/gaugegw/proxy/client/ClientContext.java
@@ -6,16 +6,16 @@
 import gaugegw.proxy.transport.ConnectionLimiter;
 
 /**
- * What all connections and exchanges of a {@link Frontend} share. Used on the event loop only.
+ * The objects that all connections and exchanges of a {@link Frontend} share. Used on the event loop only.
  *
  * @param clock the proxy's clock, in microseconds
- * @param log lines for the operators
- * @param dispatcher takes the parsed requests
+ * @param log the log for operators
+ * @param dispatcher receives the parsed requests
  * @param limiter counts the connections and evicts idle ones
  * @param requestParser checks and parses requests
- * @param delayEstimator says since when a byte may have waited to be read
- * @param connections all connections that are not closed yet
- * @param drainState how far a graceful shutdown has come
+ * @param delayEstimator estimates when a byte that is read now was received
+ * @param connections all open connections
+ * @param drainState the steps that a graceful shutdown has reached
  */
 record ClientContext(
         Clock clock,
--- a/src/main/java/gaugegw/proxy/client/ClientExchange.java
+++ b/src/main/java/gaugegw/proxy/client/ClientExchange.java
@@ -15,8 +15,8 @@
 import java.util.Locale;
 
 /**
- * A complete request and its one response. It owns the request, and releases it when it responds or when the client has
- * closed its connection. Used on the event loop only.
+ * A complete request and its one response. The exchange owns the request, and releases it when it responds or when the
+ * client has disconnected. Used on the event loop only.
  */
 final class ClientExchange implements ResponseSink {
     private static final String READINESS_PATH = "/ready";
@@ -40,12 +40,15 @@
         this.firstByteAtUs = firstByteAtUs;
     }
 
-    /** Dispatches the request, or responds at once; does nothing if the client has closed its connection meanwhile. */
+    /**
+     * Dispatches the request, or responds to it at once if it is not to be dispatched. Does nothing if the client has
+     * disconnected meanwhile.
+     */
     void begin() {
         if (!connection.isCurrent(this) || !connection.isActive()) {
             return;
         }
-        if (connection.hasClientFinished()) {
+        if (connection.hasClientOutputEnded()) {
             sendRejection(0);
             return;
         }
@@ -53,7 +56,7 @@
         try {
             var uri = new QueryStringDecoder(request.uri());
             if (uri.rawPath().equals(READINESS_PATH)) {
-                respond(readiness());
+                respond(readinessResponse());
                 return;
             }
             parsed = context.requestParser().parse(request, uri, firstByteAtUs);
@@ -68,13 +71,16 @@
         context.dispatcher().requestArrived(parsed, this);
     }
 
-    private FullHttpResponse readiness() {
+    private FullHttpResponse readinessResponse() {
         return context.drainState().isReady()
                 ? PlainTextResponse.of(HttpResponseStatus.OK, "ready")
                 : PlainTextResponse.of(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready");
     }
 
-    /** On a connection that is kept, a faulty client would send invalid requests as fast as they are responded to. */
+    /**
+     * Responds with an error and closes the connection. If it stayed open, a faulty client could send invalid requests
+     * as fast as they are answered.
+     */
     private void respondWithErrorAndClose(FullHttpResponse response) {
         request.release();
         connection.respondWithErrorAndClose(response);
@@ -88,10 +94,11 @@
     }
 
     @Override
-    public void sendResponse(UpstreamResponse served) {
-        var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, served.body());
-        ProtocolHeaders.copyEndToEnd(served.headers(), response.headers());
-        HttpUtil.setContentLength(response, served.body().readableBytes());
+    public void sendResponse(UpstreamResponse upstreamResponse) {
+        var response =
+                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, upstreamResponse.body());
+        ProtocolHeaders.copyEndToEnd(upstreamResponse.headers(), response.headers());
+        HttpUtil.setContentLength(response, upstreamResponse.body().readableBytes());
         respond(response);
     }
 
@@ -115,31 +122,31 @@
             response.release();
             return;
         }
-        boolean keepAlive = HttpUtil.isKeepAlive(request) && !closesAfterResponse();
+        boolean keepAlive = HttpUtil.isKeepAlive(request) && !shouldCloseAfterResponse();
         HttpUtil.setKeepAlive(response, keepAlive);
         request.release();
         connection.finishExchange(response, keepAlive);
     }
 
-    private boolean closesAfterResponse() {
-        boolean wantsClose = context.drainState().isClosingAfterResponses()
-                || connection.hasClientFinished()
+    private boolean shouldCloseAfterResponse() {
+        boolean closeWanted = context.drainState().isClosingAfterResponses()
+                || connection.hasClientOutputEnded()
                 || context.limiter().isNearClientLimit();
-        return wantsClose && connection.isLastExchange();
+        return closeWanted && connection.isLastExchange();
     }
 
     /**
-     * The client has ended its sending and may have gone, but may still read: a dispatched request is failed. One that
-     * has not been dispatched is rejected when its turn comes.
+     * Handles the end of the client's output. The client may have gone, but it may also still read: a dispatched
+     * request is answered with a failure, and a request that has not been dispatched is rejected when it begins.
      */
-    void clientFinished() {
+    void clientOutputEnded() {
         if (requestId != null) {
             context.dispatcher().clientDisconnected(requestId);
             sendFailure();
         }
     }
 
-    /** The connection is closed: there is nobody to respond to. */
+    /** Handles the close of the connection: no response can be sent any more. */
     void clientDisconnected() {
         request.release();
         if (requestId != null) {
@@ -147,7 +154,7 @@
         }
     }
 
-    /** Releases the request of an exchange that has not begun. */
+    /** Releases the request of an exchange that will not begin. */
     void release() {
         request.release();
     }
--- a/src/main/java/gaugegw/proxy/client/ClientRequestHandler.java
+++ b/src/main/java/gaugegw/proxy/client/ClientRequestHandler.java
@@ -7,7 +7,7 @@
 import io.netty.handler.codec.http.FullHttpRequest;
 import java.io.IOException;
 
-/** The last handler of a client's connection: passes complete requests to the connection, which releases them. */
+/** The last handler in a connection's pipeline: passes complete requests to the connection, which then owns them. */
 final class ClientRequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     private final ClientConnection connection;
     private final RateLimitedLog log;
@@ -24,9 +24,12 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        // Clients that disconnect or stop in the middle of a request are no fault of the proxy, and not logged.
+        // I/O and codec errors are not logged: clients cause them when they disconnect or send an incomplete request.
         if (!(cause instanceof IOException) && !(cause instanceof CodecException)) {
-            log.writeException("a client's connection failed", cause);
+            log.writeException(
+                    "unexpected error on the connection of client "
+                            + ctx.channel().remoteAddress() + ", closing it",
+                    cause);
         }
         ctx.close();
     }
--- a/src/main/java/gaugegw/proxy/client/ClientRequestParser.java
+++ b/src/main/java/gaugegw/proxy/client/ClientRequestParser.java
@@ -19,15 +19,21 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Checks clients' requests against the protocol and the settings, and parses them. Used on the event loop only. */
+/** Validates client requests against the protocol and the settings, and parses them. Used on the event loop only. */
 final class ClientRequestParser {
     private static final String API_PATH = "/api";
-    private static final String KEY_PARAMETER = "k";
-    private static final String RETRIED = "1";
-    private static final Pattern TIMEOUT = Pattern.compile("(\\d{1,8})([mu])");
-    /** The time kept for the response to reach the client, and for the proxy's own delays, in microseconds. */
+    private static final String AFFINITY_KEY_PARAMETER = "k";
+    private static final String RETRIED_VALUE = "1";
+    /** A number and its unit: {@code m} for milliseconds, {@code u} for microseconds. */
+    private static final Pattern TIMEOUT_FORMAT = Pattern.compile("(\\d{1,8})([mu])");
+    /**
+     * Time subtracted from a client's timeout, in microseconds: the response needs it to reach the client, and the
+     * proxy may itself be delayed.
+     */
     private static final long RESPONSE_MARGIN_US = 8_000;
-    /** The margin is at most this part of a client's timeout: a request with a short timeout is served nevertheless. */
+    /**
+     * The margin is at most a client's timeout divided by this, so that a request with a short timeout is still served.
+     */
     private static final long MAX_MARGIN_DIVISOR = 10;
 
     private final Map<String, Idempotency> idempotencyByClass = new HashMap<>();
@@ -37,7 +43,7 @@
     /**
      * Creates a parser.
      *
-     * @param isInFlight whether a request with a given id is being served
+     * @param isInFlight returns whether a request with a given id is in flight
      */
     ClientRequestParser(BalancerSettings settings, Predicate<String> isInFlight) {
         settings.requestClasses().forEach(c -> idempotencyByClass.put(c.name(), c.idempotency()));
@@ -46,11 +52,11 @@
     }
 
     /**
-     * Parses a request.
+     * Validates and parses a request.
      *
-     * @param request the complete request, whose body the parsed request refers to without retaining it
-     * @param uri its decoded target
-     * @param firstByteAtUs when its first byte was received, on the proxy's clock
+     * @param request the complete request; the result refers to its body without retaining it
+     * @param uri the decoded target of the request
+     * @param firstByteAtUs when the first byte of the request was received, on the proxy's clock
      * @throws InvalidRequestException if the request can't be forwarded
      * @throws IllegalArgumentException if the target is malformed
      */
@@ -66,14 +72,14 @@
             throw new InvalidRequestException(
                     HttpResponseStatus.CONFLICT, "a request with this id is already in flight");
         }
-        List<String> keys = uri.parameters().get(KEY_PARAMETER);
+        List<String> keys = uri.parameters().get(AFFINITY_KEY_PARAMETER);
         long timeoutUs = timeoutUs(requireHeader(headers, ProtocolHeaders.TIMEOUT));
         return new ClientRequest(
                 requestId,
                 requestClass,
                 tenant,
                 keys == null ? null : keys.get(0),
-                RETRIED.equals(headers.get(ProtocolHeaders.RETRIED)),
+                RETRIED_VALUE.equals(headers.get(ProtocolHeaders.RETRIED)),
                 firstByteAtUs + timeoutUs - responseMarginUs(timeoutUs),
                 new UpstreamRequest(request.method(), request.uri(), headers, request.content()));
     }
@@ -85,7 +91,10 @@
         }
     }
 
-    /** The class fixes the method: GET for idempotent requests, POST for all others. */
+    /**
+     * Checks that the method is the one that the request class requires, GET for idempotent requests and POST for all
+     * others, and that a request whose class needs an idempotency key has one.
+     */
     private void requireMethod(FullHttpRequest request, String requestClass) throws InvalidRequestException {
         Idempotency idempotency = idempotencyByClass.get(requestClass);
         if (idempotency == null) {
@@ -101,7 +110,7 @@
         }
     }
 
-    /** Returns the name of the request's tenant; null if the settings have no tenants. */
+    /** Returns the name of the request's tenant, or null if the settings have no tenants. */
     private String tenant(HttpHeaders headers) throws InvalidRequestException {
         if (tenants.isEmpty()) {
             return null;
@@ -122,12 +131,12 @@
     }
 
     private static long timeoutUs(String text) throws InvalidRequestException {
-        Matcher timeout = TIMEOUT.matcher(text);
+        Matcher timeout = TIMEOUT_FORMAT.matcher(text);
         if (!timeout.matches() || Long.parseLong(timeout.group(1)) == 0) {
             throw badRequest("bad " + ProtocolHeaders.TIMEOUT);
         }
-        long usPerUnit = timeout.group(2).equals("m") ? 1_000 : 1;
-        return Long.parseLong(timeout.group(1)) * usPerUnit;
+        long microsPerUnit = timeout.group(2).equals("m") ? 1_000 : 1;
+        return Long.parseLong(timeout.group(1)) * microsPerUnit;
     }
 
     private static long responseMarginUs(long timeoutUs) {
--- a/src/main/java/gaugegw/proxy/client/ClosingSequence.java
+++ b/src/main/java/gaugegw/proxy/client/ClosingSequence.java
@@ -11,26 +11,30 @@
 import io.netty.util.concurrent.Future;
 
 /**
- * Closes a client's connection so that the client can read its last response. A socket that is closed with received
- * bytes unread is reset, and the client's kernel then discards what it has not read: the response would be lost. So the
- * proxy shuts down its output after the last response and, for a limited time, reads and drops what the client sends.
- * Owns the final error. Used on the event loop only.
+ * Closes a client's connection in such a way that the client can read its last response. If a socket is closed while
+ * received bytes are unread, the kernel resets the connection, and the client's kernel then discards a response that
+ * the client has not read yet. So the proxy shuts down its output after the last response and lingers: for a limited
+ * time it reads and drops what the client sends.
+ *
+ * <p>The final error is the error response after which the proxy closes a connection, such as the response to an
+ * invalid request. This class owns it until it is written. Used on the event loop only.
  */
 final class ClosingSequence {
     private enum State {
         /** Requests are read and responded to. */
         OPEN,
-        /** No further request is read; an error is the last response, after those to the requests before it. */
+        /** No further request is read. The final error is to be sent after the responses to the requests before it. */
         FINAL_ERROR_PENDING,
-        /** The last response is being written, or nothing more is. */
+        /** No further response follows. The connection closes once everything pending is written. */
         CLOSING,
-        /** The output is shut down; what the client sends is read and dropped. */
+        /** The output is shut down; what the client still sends is read and dropped. */
         LINGERING
     }
 
     /**
-     * Bytes read, beyond the kept requests, of which nothing is served. A client that sends more while it is served is
-     * taken for gone, as its close would lie unread behind them; while lingering its connection is closed.
+     * Limit on the bytes read from a client that belong to no request that will be served. A client that reaches it is
+     * handled as if it had ended its output, as its close would stay unread behind these bytes; a lingering connection
+     * that reaches it is closed.
      */
     private static final long MAX_UNSERVED_BYTES = 256 * 1024;
 
@@ -39,11 +43,15 @@
     private final ConnectionLimiter limiter;
     private State state = State.OPEN;
     /**
-     * Null unless an error is pending. May still be set in the later states: it is then released with the connection.
+     * The final error, or null if there is none or it has been written. It may still be set in {@link State#CLOSING}
+     * and {@link State#LINGERING}: it is then released once the connection is closed.
      */
     private FullHttpResponse finalError;
-    /** The client has ended its sending, or counts as gone; it may still read. Independent of the state. */
-    private boolean clientFinished;
+    /**
+     * Whether the client has shut down its output, or has sent so many bytes that it is handled as if it had. It may
+     * still read. Independent of the state.
+     */
+    private boolean clientOutputEnded;
 
     private long unservedBytes;
     private long lingeringSinceUs;
@@ -63,7 +71,7 @@
         return state == State.FINAL_ERROR_PENDING;
     }
 
-    /** Returns whether no further response is written: the last one has been, or there is none. */
+    /** Returns whether no further response follows, because the last one was handed to the channel or there is none. */
     boolean isClosing() {
         return state == State.CLOSING || state == State.LINGERING;
     }
@@ -77,27 +85,27 @@
         return nowUs - lingeringSinceUs;
     }
 
-    boolean isClientFinished() {
-        return clientFinished;
+    boolean hasClientOutputEnded() {
+        return clientOutputEnded;
     }
 
-    void setClientFinished() {
-        clientFinished = true;
+    void setClientOutputEnded() {
+        clientOutputEnded = true;
     }
 
-    /** Counts bytes of which nothing is served; returns whether there have been too many. */
-    boolean exceedsUnserved(int bytes) {
+    /** Counts bytes that belong to no request that will be served; returns whether the limit on them is reached. */
+    boolean addUnservedBytes(int bytes) {
         unservedBytes += bytes;
         return unservedBytes >= MAX_UNSERVED_BYTES;
     }
 
-    /** Keeps an error as the last response, and owns it from here on; called while the connection is open. */
+    /** Takes ownership of the final error, to be sent later. To be called in {@link State#OPEN} only. */
     void deferFinalError(FullHttpResponse error) {
         finalError = error;
         state = State.FINAL_ERROR_PENDING;
     }
 
-    /** Writes the pending error and closes the connection after it. */
+    /** Writes the final error and closes the connection after it. */
     void sendFinalError() {
         FullHttpResponse error = finalError;
         finalError = null;
@@ -105,12 +113,12 @@
         closeAfter(channel.writeAndFlush(error));
     }
 
-    /** Closes the connection after what is still being written. */
+    /** Closes the connection once everything that is still being written has been written. */
     void closeAfterPendingWrites() {
         closeAfter(channel.writeAndFlush(Unpooled.EMPTY_BUFFER));
     }
 
-    /** Closes the connection after its last write. A connection that is lingering already goes on lingering. */
+    /** Closes the connection after its last write. A connection that is already lingering continues to linger. */
     void closeAfter(ChannelFuture lastWrite) {
         if (state != State.LINGERING) {
             state = State.CLOSING;
@@ -119,7 +127,7 @@
     }
 
     private void lastWriteCompleted(Future<?> lastWrite) {
-        boolean clientMayRead = lastWrite.isSuccess() && !clientFinished && unservedBytes < MAX_UNSERVED_BYTES;
+        boolean clientMayRead = lastWrite.isSuccess() && !clientOutputEnded && unservedBytes < MAX_UNSERVED_BYTES;
         if (clientMayRead && channel instanceof SocketChannel socket) {
             linger(socket);
         } else {
@@ -134,8 +142,8 @@
         socket.shutdownOutput();
     }
 
-    /** Releases the error that could not be sent, as the connection is closed. */
-    void release() {
+    /** Releases a final error that was not sent; to be called when the connection is closed. */
+    void releaseFinalError() {
         if (finalError != null) {
             finalError.release();
         }
--- a/src/main/java/gaugegw/proxy/client/DrainState.java
+++ b/src/main/java/gaugegw/proxy/client/DrainState.java
@@ -2,10 +2,10 @@
 
 import java.util.function.BooleanSupplier;
 
-/** How far a graceful shutdown has come, as far as it changes what clients are sent. Used on the event loop only. */
+/** The steps of a graceful shutdown that change what the proxy responds to clients. Used on the event loop only. */
 final class DrainState {
     private final BooleanSupplier canServe;
-    private boolean notReady;
+    private boolean notReadyReported;
     private boolean closingAfterResponses;
 
     /** Creates the state of a proxy that is not shutting down and is ready whenever it can serve. */
@@ -13,16 +13,16 @@
         this.canServe = canServe;
     }
 
-    /** Returns the answer to a readiness check. */
+    /** Returns whether a readiness check succeeds. */
     boolean isReady() {
-        return canServe.getAsBoolean() && !notReady;
+        return canServe.getAsBoolean() && !notReadyReported;
     }
 
     void reportNotReady() {
-        notReady = true;
+        notReadyReported = true;
     }
 
-    /** Returns whether each response is the last one of its connection. */
+    /** Returns whether connections are closed after their next response. */
     boolean isClosingAfterResponses() {
         return closingAfterResponses;
     }
--- a/src/main/java/gaugegw/proxy/client/Frontend.java
+++ b/src/main/java/gaugegw/proxy/client/Frontend.java
@@ -14,21 +14,21 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The clients' side of the proxy: listens, accepts connections and ends them in a graceful shutdown. Used on the event
- * loop only, except where a method says otherwise.
+ * Listens for clients, accepts their connections and closes them in a graceful shutdown. Used on the event loop only,
+ * except where a method says otherwise.
  */
 public final class Frontend {
-    /** The interval at which the time limits of connections are checked, in microseconds. */
-    private static final long EXPIRY_INTERVAL_US = 100_000;
+    /** Interval at which the time limits of all connections are checked, in microseconds. */
+    private static final long TIME_LIMIT_CHECK_INTERVAL_US = 100_000;
 
     private final ClientContext context;
-    /** Null until {@link #listen}. */
-    private Channel listener;
+    /** The listening channel; null until {@link #listen} is called. */
+    private Channel listeningChannel;
 
     /**
      * Creates a frontend that does not listen yet.
      *
-     * @param canServe whether the proxy can serve requests; called on the event loop for each readiness check
+     * @param canServe returns whether the proxy can serve requests; called on the event loop for each readiness check
      */
     public Frontend(
             Clock clock,
@@ -48,14 +48,17 @@
                 new DrainState(canServe));
     }
 
-    /** Starts listening, from any thread; returns the bind. */
+    /** Starts listening and returns the future of the bind. May be called on any thread. */
     public ChannelFuture listen(Transport transport, InetSocketAddress address) {
         context.delayEstimator().start(transport.loop());
-        // One timer for all connections: one for each would have to be set again with each request.
+        // One timer serves all connections: a timer per connection would have to be rescheduled with each request.
         transport
                 .loop()
                 .scheduleWithFixedDelay(
-                        this::expireConnections, EXPIRY_INTERVAL_US, EXPIRY_INTERVAL_US, TimeUnit.MICROSECONDS);
+                        this::enforceTimeLimits,
+                        TIME_LIMIT_CHECK_INTERVAL_US,
+                        TIME_LIMIT_CHECK_INTERVAL_US,
+                        TimeUnit.MICROSECONDS);
         ChannelFuture bound = transport
                 .serverBootstrap()
                 .clone()
@@ -67,40 +70,43 @@
                     }
                 })
                 .bind(transport.toSocketAddress(address));
-        listener = bound.channel();
-        context.limiter().setListeningChannel(listener);
+        listeningChannel = bound.channel();
+        context.limiter().setListeningChannel(listeningChannel);
         return bound;
     }
 
-    private void expireConnections() {
-        context.connections().expire(context.clock().nowUs());
+    private void enforceTimeLimits() {
+        context.connections().enforceTimeLimits(context.clock().nowUs());
     }
 
-    /** From now on readiness checks fail, so that clients choose another proxy; those that come are served. */
+    /**
+     * Makes readiness checks fail from now on, so that clients choose another proxy. Requests that still arrive are
+     * served.
+     */
     public void reportNotReady() {
         context.drainState().reportNotReady();
     }
 
-    /** Stops accepting connections; those in the kernel's backlog are reset. */
+    /** Stops accepting connections; the kernel resets those that wait in the backlog. */
     public void stopListening() {
-        if (listener != null) {
-            listener.close();
+        if (listeningChannel != null) {
+            listeningChannel.close();
         }
     }
 
-    /** From now on each response is the last one of its connection, so that clients choose another proxy. */
+    /** Closes each connection after its next response from now on, so that its client chooses another proxy. */
     public void closeAfterResponses() {
         context.drainState().closeAfterResponses();
     }
 
-    /** Closes the connections without a request. */
+    /** Closes the connections that have no request in flight and no incomplete request. */
     public void closeIdleConnections() {
         context.connections().closeIdle();
     }
 
     /**
-     * Returns the number of connections on which a client may send, wait for a response or read one. On any other thread
-     * than the event loop the number may be out of date.
+     * Returns the number of connections on which a client may still send a request, wait for a response or read one.
+     * May be called on any thread; on any other than the event loop the number may be out of date.
      */
     public int connectedClients() {
         return context.connections().activeCount();
--- a/src/main/java/gaugegw/proxy/client/InvalidRequestException.java
+++ b/src/main/java/gaugegw/proxy/client/InvalidRequestException.java
@@ -2,13 +2,13 @@
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 
-/** A request that can't be forwarded; the message is meant for the client. */
+/** Thrown for a client's request that can't be forwarded. The message is sent to the client. */
 final class InvalidRequestException extends Exception {
     private static final long serialVersionUID = 1L;
 
     private final transient HttpResponseStatus status;
 
-    /** Creates an exception without a stack trace, as clients may cause any number of them. */
+    /** Creates an exception without a stack trace, because clients may cause any number of them. */
     InvalidRequestException(HttpResponseStatus status, String message) {
         super(message, null, false, false);
         this.status = status;
--- a/src/main/java/gaugegw/proxy/client/PipelinedRequests.java
+++ b/src/main/java/gaugegw/proxy/client/PipelinedRequests.java
@@ -4,52 +4,55 @@
 import java.util.Queue;
 
 /**
- * The requests that a client has sent ahead of its responses. A few are kept; of those beyond, only the number is, so
- * that a client which never reads can't fill the memory. Used on the event loop only.
+ * The complete requests that a client has sent before it got the responses to its earlier ones. A few of them wait to
+ * be served. The others, the overflow, are released and only counted, so that a client that never reads its responses
+ * can't use up the memory. Used on the event loop only.
  */
 final class PipelinedRequests {
-    /** Requests kept ahead on one connection; the protocol's clients send one at a time. */
+    /**
+     * Maximum number of waiting requests per connection. Clients that follow the protocol send one request at a time.
+     */
     private static final int MAX_WAITING = 2;
 
     private final Queue<ClientExchange> waiting = new ArrayDeque<>();
-    /** Complete requests beyond those that wait; each is still owed a response. */
-    private int overflow;
+    /** The number of requests in the overflow. Each of them still has to be answered. */
+    private int overflowCount;
 
-    /** Keeps a request, or releases and counts it if too many are kept. */
+    /** Lets a request wait or, if too many are waiting, releases it and counts it as overflow. */
     void add(ClientExchange exchange) {
-        if (overflow == 0 && waiting.size() < MAX_WAITING) {
+        if (overflowCount == 0 && waiting.size() < MAX_WAITING) {
             waiting.add(exchange);
         } else {
             exchange.release();
-            overflow++;
+            overflowCount++;
         }
     }
 
-    /** Removes the next waiting request; null if there is none. */
+    /** Removes and returns the next waiting request; returns null if there is none. */
     ClientExchange poll() {
         return waiting.poll();
     }
 
     boolean isEmpty() {
-        return waiting.isEmpty() && overflow == 0;
+        return waiting.isEmpty() && overflowCount == 0;
     }
 
     boolean hasOverflow() {
-        return overflow > 0;
+        return overflowCount > 0;
     }
 
-    /** Takes one request off the overflow, as it is responded to. */
-    void removeOverflow() {
-        overflow--;
+    /** Removes one request from the overflow, as it gets its response. */
+    void removeOneFromOverflow() {
+        overflowCount--;
     }
 
-    /** Makes all that wait part of the overflow: none of them is to be dispatched any more. */
-    void overflowWaiting() {
-        overflow += waiting.size();
+    /** Releases all waiting requests and counts them as overflow, so that none of them is dispatched. */
+    void moveWaitingToOverflow() {
+        overflowCount += waiting.size();
         releaseWaiting();
     }
 
-    /** Releases the waiting requests, as the connection is closed. */
+    /** Releases all waiting requests without counting them; to be called when the connection is closed. */
     void releaseWaiting() {
         waiting.forEach(ClientExchange::release);
         waiting.clear();
--- a/src/main/java/gaugegw/proxy/client/PlainTextResponse.java
+++ b/src/main/java/gaugegw/proxy/client/PlainTextResponse.java
@@ -10,7 +10,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.nio.charset.StandardCharsets;
 
-/** Creates the responses that the proxy itself gives: a status and a line of text. */
+/** Creates the responses that the proxy itself generates: a status and a line of text. */
 final class PlainTextResponse {
     private PlainTextResponse() {}
 
--- a/src/main/java/gaugegw/proxy/client/RequestAggregator.java
+++ b/src/main/java/gaugegw/proxy/client/RequestAggregator.java
@@ -16,8 +16,9 @@
 import java.util.List;
 
 /**
- * Aggregates the parts of a request. A request whose head is invalid, or whose body is too long, is rejected before the
- * rest of its body is received. Netty's own rejections would overtake the responses to the requests before.
+ * Aggregates the parts of a request into a complete request. A request with an invalid head or with a body that is too
+ * long is rejected before the rest of its body is received. The rejections of Netty's aggregator are replaced, as they
+ * would be written at once, before the responses to earlier requests.
  */
 final class RequestAggregator extends HttpObjectAggregator {
     private final ClientConnection connection;
@@ -32,13 +33,13 @@
         FullHttpResponse error = part instanceof HttpRequest head ? errorFor(head) : null;
         if (error != null) {
             ReferenceCountUtil.release(part);
-            connection.endWithError(error);
+            connection.rejectAndClose(error);
         } else {
             super.decode(ctx, part, out);
         }
     }
 
-    /** Returns the error that a request is rejected with for its head; null if the head is valid. */
+    /** Returns the error response for a request with an invalid head, or null if the head is valid. */
     private static FullHttpResponse errorFor(HttpRequest head) {
         if (head.decoderResult().isFailure()) {
             return PlainTextResponse.badRequest("malformed request");
@@ -46,13 +47,16 @@
         if (hasUnsupportedCoding(head)) {
             return PlainTextResponse.badRequest("unsupported transfer coding");
         }
-        if (expectsMoreThanContinue(head)) {
+        if (hasUnsupportedExpectation(head)) {
             return PlainTextResponse.of(HttpResponseStatus.EXPECTATION_FAILED, "unsupported expectation");
         }
         return null;
     }
 
-    /** Netty only looks for {@code chunked} among the codings, and would misread where a body in any other one ends. */
+    /**
+     * Returns whether a request has any transfer coding but a single {@code chunked} in HTTP/1.1. Netty only looks for
+     * {@code chunked} among the codings, and would misjudge where a body with another coding ends.
+     */
     private static boolean hasUnsupportedCoding(HttpRequest head) {
         List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         boolean onlyChunked = codings.size() == 1
@@ -61,8 +65,11 @@
         return !codings.isEmpty() && !onlyChunked;
     }
 
-    /** RFC 9110, 10.1.1: there is one expectation, and HTTP/1.0 knows none. */
-    private static boolean expectsMoreThanContinue(HttpRequest head) {
+    /**
+     * Returns whether the request has an expectation other than {@code 100-continue}, the only one that RFC 9110,
+     * section 10.1.1, defines. Expectations of HTTP/1.0 requests are ignored.
+     */
+    private static boolean hasUnsupportedExpectation(HttpRequest head) {
         String expected = head.headers().get(HttpHeaderNames.EXPECT);
         return expected != null
                 && !HttpHeaderValues.CONTINUE.contentEqualsIgnoreCase(expected)
@@ -72,7 +79,7 @@
     @Override
     protected Object newContinueResponse(HttpMessage head, int maxBodyBytes, ChannelPipeline pipeline) {
         if (isContentLengthInvalid(head, maxBodyBytes)) {
-            // handleOversizedMessage responds, after the requests before this one.
+            // handleOversizedMessage sends the error, after the responses to the requests before this one.
             return null;
         }
         return super.newContinueResponse(head, maxBodyBytes, pipeline);
@@ -80,7 +87,7 @@
 
     @Override
     protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-        connection.endWithError(PlainTextResponse.of(
+        connection.rejectAndClose(PlainTextResponse.of(
                 HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE,
                 "the body is longer than " + HttpLimits.MAX_BODY_BYTES / 1024 + " KiB"));
     }
--- a/src/main/java/gaugegw/proxy/client/RequestArrival.java
+++ b/src/main/java/gaugegw/proxy/client/RequestArrival.java
@@ -1,25 +1,25 @@
 package gaugegw.proxy.client;
 
 /**
- * When the requests of one connection began to arrive, on the proxy's clock in microseconds. A client's timeout runs
- * from when it sent its request, and the first received byte is the closest to it that the proxy can know. Used on the
- * event loop only.
+ * Records when the requests of one connection began to arrive, on the proxy's clock in microseconds. A client's timeout
+ * starts when it sends its request; the time when the first byte is received is the closest to that which the proxy can
+ * know. Used on the event loop only.
  */
 final class RequestArrival {
     private static final long NONE = -1;
 
     private final EventLoopDelayEstimator delayEstimator;
     private long firstByteAtUs = NONE;
-    private long lastFirstByteAtUs;
+    private long lastCompletedFirstByteAtUs;
 
     RequestArrival(EventLoopDelayEstimator delayEstimator) {
         this.delayEstimator = delayEstimator;
     }
 
-    /** Bytes have been read; the first ones since the last complete request begin the next. */
+    /** Records that bytes were read. The first ones after a complete request are the beginning of the next request. */
     void bytesRead() {
         if (!isIncomplete()) {
-            firstByteAtUs = delayEstimator.earliestReceiptUs();
+            firstByteAtUs = delayEstimator.earliestReceiptAtUs();
         }
     }
 
@@ -33,13 +33,14 @@
         return firstByteAtUs;
     }
 
-    /** A request has been read completely; returns when its first byte was received. */
-    long complete() {
-        // If several requests came in one read, all of them were received when the first byte of that read was.
+    /** Records that a request was read completely; returns when its first byte was received. */
+    long requestCompleted() {
+        // One read may hold several requests. No first byte is recorded for the later ones; they were received at the
+        // same time as the first.
         if (isIncomplete()) {
-            lastFirstByteAtUs = firstByteAtUs;
+            lastCompletedFirstByteAtUs = firstByteAtUs;
         }
         firstByteAtUs = NONE;
-        return lastFirstByteAtUs;
+        return lastCompletedFirstByteAtUs;
     }
 }
--- a/src/main/java/gaugegw/proxy/client/package-info.java
+++ b/src/main/java/gaugegw/proxy/client/package-info.java
@@ -1,22 +1,24 @@
 /**
- * The connections of clients, their requests and the responses to them.
+ * The client side of the proxy: client connections, their requests, and the responses to them.
  *
- * <p>{@link gaugegw.proxy.client.Frontend} accepts connections; {@link gaugegw.proxy.client.ClientContext} is what they
- * share. A {@link gaugegw.proxy.client.ClientConnection} owns its current {@link gaugegw.proxy.client.ClientExchange},
- * the {@link gaugegw.proxy.client.PipelinedRequests} behind it and its {@link gaugegw.proxy.client.ClosingSequence}. An
- * exchange owns one complete request: it has it parsed by the {@link gaugegw.proxy.client.ClientRequestParser},
- * dispatches it, and is the {@link gaugegw.proxy.dispatch.ResponseSink} for its one response. Responses are written in
- * the order of the requests.
+ * <p>{@link gaugegw.proxy.client.Frontend} accepts the connections, which share one {@link
+ * gaugegw.proxy.client.ClientContext}. Each {@link gaugegw.proxy.client.ClientConnection} owns its current {@link
+ * gaugegw.proxy.client.ClientExchange}, the {@link gaugegw.proxy.client.PipelinedRequests} that follow it, and its
+ * {@link gaugegw.proxy.client.ClosingSequence}. An exchange owns one complete request: it has the {@link
+ * gaugegw.proxy.client.ClientRequestParser} parse it, dispatches the result, and receives the one response as its
+ * {@link gaugegw.proxy.dispatch.ResponseSink}. Responses are written in the order of their requests.
  *
- * <p>The pipeline of a connection, from the socket: {@link gaugegw.proxy.client.ClientConnection}, {@link
- * gaugegw.proxy.http.StrictRequestDecoder}, {@code HttpResponseEncoder}, {@link
- * gaugegw.proxy.client.RequestAggregator}, {@link gaugegw.proxy.client.ClientRequestHandler}. The connection comes
- * first, as it drops bytes that are not to be decoded; the decoder is removed once an invalid request has been read.
+ * <p>The handlers of a connection's pipeline, starting at the socket: {@link gaugegw.proxy.client.ClientConnection},
+ * {@link gaugegw.proxy.http.StrictRequestDecoder}, {@code HttpResponseEncoder}, {@link
+ * gaugegw.proxy.client.RequestAggregator}, {@link gaugegw.proxy.client.ClientRequestHandler}. {@code ClientConnection}
+ * comes first because it drops bytes that must not be decoded. The decoder is removed once an invalid request has been
+ * read.
  *
- * <p>Buffers: the exchange releases its request when it responds, or when the client has disconnected. A response is
- * released by the encoder once it is written, or by the exchange if it comes too late. The closing sequence releases a
- * final error that could not be sent.
+ * <p>Buffer ownership: an exchange releases its request when it responds or when the client has disconnected. The
+ * encoder releases a response once it is written; the exchange releases a response that it can no longer send. The
+ * closing sequence releases a final error that was not sent.
  *
- * <p>Threading: everything here runs on the proxy's event loop and nothing is synchronized.
+ * <p>Threading: everything in this package runs on the proxy's event loop, except where {@link
+ * gaugegw.proxy.client.Frontend} says otherwise, and nothing is synchronized.
  */
 package gaugegw.proxy.client;
