--- a/src/main/java/gaugegw/Main.java
+++ b/src/main/java/gaugegw/Main.java
@@ -7,16 +7,17 @@
 import java.io.IOException;
 
 /**
- * The command line: {@code serve} runs one proxy, {@code simulate} runs its load balancer on the simulator's wire, and
- * {@code load-classes} loads what {@code serve} needs, for the archive of classes that shortens its starts.
+ * The entry point of the command line. The command {@code serve} runs a proxy, {@code simulate} connects its load
+ * balancer to the simulator's wire, and {@code load-classes} loads the classes that {@code serve} needs, for the class
+ * data sharing archive that makes its starts faster.
  */
 public final class Main {
     private Main() {}
 
     /**
-     * Runs one of the commands.
+     * Runs a command.
      *
-     * @param args one word, the command
+     * @param args exactly one argument, the command
      * @throws IOException if standard input or output of {@code simulate} fails
      */
     public static void main(String[] args) throws IOException {
--- a/src/main/java/gaugegw/proxy/lifecycle/DeferredWrites.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/DeferredWrites.java
@@ -2,16 +2,16 @@
 
 import io.netty.channel.ChannelHandlerContext;
 
-/** Writes to in-process channels. */
+/** Writes to in-process channels in a later task of the event loop. */
 final class DeferredWrites {
     private DeferredWrites() {}
 
     /**
-     * Writes and flushes in a task of its own. Unlike a socket, an in-process channel delivers to its peer inside the
-     * write: request and response would call one another until the stack overflows. Nothing is added to an event loop
-     * that is shutting down.
+     * Writes and flushes a message in a task of its own. Unlike a socket, an in-process channel delivers a message to
+     * its peer during the write. Each response would then trigger the next request within the same call, until the
+     * stack overflows. Does nothing if the event loop is shutting down.
      *
-     * @param message released by the write
+     * @param message the message, released by the write
      */
     static void writeAndFlush(ChannelHandlerContext ctx, Object message) {
         if (!ctx.executor().isShuttingDown()) {
--- a/src/main/java/gaugegw/proxy/lifecycle/DrainSchedule.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/DrainSchedule.java
@@ -4,34 +4,50 @@
 import gaugegw.balancer.api.RequestClass;
 
 /**
- * When the steps of a graceful shutdown are due, in milliseconds after its begin.
+ * The times of the steps of a graceful shutdown, in milliseconds after its start.
  *
- * @param stopAcceptingMs no connection is accepted any more
- * @param closeAfterResponsesMs each response is its connection's last, so that clients reconnect to another proxy
- * @param closeIdleMs connections without a request are closed
- * @param failRemainingMs requests without a response are failed
- * @param exitMs the process ends, whatever is still open
+ * @param stopAcceptingMs when the proxy stops accepting connections
+ * @param closeAfterResponsesMs from when on a connection is closed with its next response, so that its client
+ *     reconnects to another proxy
+ * @param closeIdleMs when connections without a request are closed
+ * @param failRemainingMs when requests that have no response yet are failed
+ * @param exitMs when the process ends, even if connections are still open
  */
 record DrainSchedule(
         long stopAcceptingMs, long closeAfterResponsesMs, long closeIdleMs, long failRemainingMs, long exitMs) {
-    /** New connections keep arriving for up to 400 ms after SIGTERM; those refused would be lost. */
+    /**
+     * Time for which new connections are accepted, in milliseconds. They keep arriving for up to 400 ms after SIGTERM,
+     * and the requests of a client that is refused would be lost.
+     */
     private static final long ACCEPT_GRACE_MS = 500;
 
-    /** Time in which clients that keep sending leave with a response, before idle connections are closed. */
+    /**
+     * Time before the close of idle connections, in milliseconds, during which connections are closed with a response:
+     * clients that keep sending requests leave in this way.
+     */
     private static final long RECONNECT_PERIOD_MS = 500;
 
-    /** SIGKILL comes 700 ms after the longest deadline, of which no more than this counts. */
+    /**
+     * Upper bound on the longest deadline, in milliseconds. SIGKILL is sent 700 ms after the longest deadline, but no
+     * later than 700 ms after this bound.
+     */
     private static final long MAX_DEADLINE_MS = 3_000;
 
-    /** Time from the longest deadline to the end of the process, which is to come before SIGKILL. */
+    /**
+     * Time from the longest deadline to the end of the process, in milliseconds. The process must end before SIGKILL is
+     * sent.
+     */
     private static final long EXIT_DELAY_MS = 600;
 
-    /** Time in which the responses to failed requests are written before the process ends. */
-    private static final long FAIL_BEFORE_EXIT_MS = 50;
+    /** Time to write the responses to failed requests before the process ends, in milliseconds. */
+    private static final long FAILURE_RESPONSE_PERIOD_MS = 50;
 
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** Returns the schedule under which every request in flight has its deadline's time for a response, or the longest that counts. */
+    /**
+     * Returns the schedule for the given settings. Every request in flight has until its deadline to be answered, but
+     * no longer than the upper bound on the longest deadline.
+     */
     static DrainSchedule of(BalancerSettings settings) {
         long deadlineMs = Math.min(MAX_DEADLINE_MS, longestDeadlineMs(settings));
         long exitMs = deadlineMs + EXIT_DELAY_MS;
@@ -39,7 +55,7 @@
                 ACCEPT_GRACE_MS,
                 Math.max(0, deadlineMs - RECONNECT_PERIOD_MS),
                 deadlineMs,
-                exitMs - FAIL_BEFORE_EXIT_MS,
+                exitMs - FAILURE_RESPONSE_PERIOD_MS,
                 exitMs);
     }
 
--- a/src/main/java/gaugegw/proxy/lifecycle/ExitStatus.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/ExitStatus.java
@@ -2,13 +2,13 @@
 
 /** The exit statuses of the process. */
 public final class ExitStatus {
-    /** The process was terminated by a signal, after a drain. */
+    /** The proxy was drained after a signal to terminate. */
     static final int SUCCESS = 0;
 
-    /** There is no such command. */
+    /** The command line names no known command. */
     public static final int USAGE = 2;
 
-    /** The configuration can't be used. */
+    /** The configuration is missing or invalid. */
     static final int INVALID_CONFIG = 2;
 
     private ExitStatus() {}
--- a/src/main/java/gaugegw/proxy/lifecycle/GracefulShutdown.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/GracefulShutdown.java
@@ -9,26 +9,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Drains a proxy before its process ends: answers all requests in flight, and has the clients reconnect elsewhere.
- * Clients keep their connections for most of the time, as the proxy that they would reconnect to may itself have just
- * started.
+ * Drains a proxy before its process ends: all requests in flight are answered, and clients reconnect to another proxy.
+ * Clients keep their connections for most of the drain, because the proxy that they would reconnect to may itself have
+ * just started.
  *
- * <p>The steps, in the order of the times that {@link DrainSchedule} gives them, all on the event loop:
+ * <p>The steps run on the event loop, at the times that {@link DrainSchedule} sets:
  *
  * <ol>
- *   <li><b>announce</b>: readiness checks fail from now on, so that no new clients are assigned;
- *   <li><b>stop accepting</b>, and begin to look whether all clients have disconnected;
- *   <li><b>close after responses</b>: clients that keep sending leave with a complete response;
- *   <li><b>close idle</b>: clients that send nothing are disconnected;
- *   <li><b>fail the remaining requests</b>, so that none ends with the process and without a response.
+ *   <li><b>fail readiness checks</b>, so that no new clients are directed to this proxy;
+ *   <li><b>stop accepting</b> connections, and start to check whether all clients have disconnected;
+ *   <li><b>close after responses</b>: a connection on which the client still sends requests is closed with a response;
+ *   <li><b>close idle</b> connections, on which the client sends nothing;
+ *   <li><b>fail the remaining requests</b>, so that none is left without a response when the process ends.
  * </ol>
  */
 final class GracefulShutdown {
-    /** Time between two checks of whether a client is still connected, in milliseconds. */
+    /** Interval at which the proxy checks whether a client is still connected, in milliseconds. */
     private static final long CHECK_INTERVAL_MS = 10;
 
-    /** Longest wait for the last log line, in milliseconds; a busy loop must not delay the end for it. */
-    private static final long LOG_TIMEOUT_MS = 10;
+    /** Maximum wait for the last log line, in milliseconds: a busy event loop must not delay the end of the process. */
+    private static final long LAST_LOG_LINE_TIMEOUT_MS = 10;
 
     private final EventLoop loop;
     private final RateLimitedLog log;
@@ -36,7 +36,7 @@
     private final Frontend frontend;
     private final RequestDispatcher dispatcher;
     private final CountDownLatch clientsDisconnected = new CountDownLatch(1);
-    /** Written by the thread that drains, read by the one that starts. */
+    /** Written by the thread that drains the proxy, read by the thread that starts it. */
     private volatile boolean begun;
 
     GracefulShutdown(
@@ -48,30 +48,30 @@
         this.dispatcher = dispatcher;
     }
 
-    /** Drains, and returns when no client is connected any more or the time is up. Not to be called on the event loop. */
+    /** Drains the proxy until no client is connected or the time is up. Must not be called on the event loop. */
     void run() {
         begun = true;
         DrainSchedule schedule = DrainSchedule.of(config.settings());
-        loop.execute(this::announce);
-        after(schedule.stopAcceptingMs(), this::stopAccepting);
-        after(schedule.closeAfterResponsesMs(), frontend::closeAfterResponses);
-        after(schedule.closeIdleMs(), frontend::closeIdleConnections);
-        after(schedule.failRemainingMs(), dispatcher::failAll);
+        loop.execute(this::failReadinessChecks);
+        runAfter(schedule.stopAcceptingMs(), this::stopAccepting);
+        runAfter(schedule.closeAfterResponsesMs(), frontend::closeAfterResponses);
+        runAfter(schedule.closeIdleMs(), frontend::closeIdleConnections);
+        runAfter(schedule.failRemainingMs(), dispatcher::failAll);
         awaitDisconnects(schedule.exitMs());
     }
 
-    /** Returns whether the drain has begun; from any thread. */
+    /** Returns whether the drain has begun. May be called on any thread. */
     boolean hasBegun() {
         return begun;
     }
 
-    private void after(long delayMs, Runnable step) {
+    private void runAfter(long delayMs, Runnable step) {
         loop.schedule(step, delayMs, TimeUnit.MILLISECONDS);
     }
 
-    private void announce() {
+    private void failReadinessChecks() {
         assert loop.inEventLoop();
-        log.write(config.name() + ": draining");
+        log.write(config.name() + ": draining, readiness checks fail from now on");
         frontend.reportNotReady();
     }
 
@@ -79,21 +79,24 @@
         assert loop.inEventLoop();
         frontend.stopListening();
         loop.scheduleWithFixedDelay(
-                this::checkDisconnected, CHECK_INTERVAL_MS, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+                this::checkConnectedClients, CHECK_INTERVAL_MS, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void checkDisconnected() {
+    private void checkConnectedClients() {
         assert loop.inEventLoop();
         if (frontend.connectedClients() == 0) {
             clientsDisconnected.countDown();
         }
     }
 
-    private void awaitDisconnects(long limitMs) {
+    private void awaitDisconnects(long timeoutMs) {
         try {
-            boolean all = clientsDisconnected.await(limitMs, TimeUnit.MILLISECONDS);
-            loop.submit(() -> log.write(config.name() + (all ? ": drained" : ": ends with clients still connected")))
-                    .awaitUninterruptibly(LOG_TIMEOUT_MS);
+            boolean allDisconnected = clientsDisconnected.await(timeoutMs, TimeUnit.MILLISECONDS);
+            loop.submit(() -> log.write(config.name()
+                            + (allDisconnected
+                                    ? ": drained, all clients have disconnected"
+                                    : ": drain timed out with clients still connected, exiting")))
+                    .awaitUninterruptibly(LAST_LOG_LINE_TIMEOUT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/gaugegw/proxy/lifecycle/LoadClassesCommand.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/LoadClassesCommand.java
@@ -6,17 +6,22 @@
 import java.net.InetSocketAddress;
 
 /**
- * The command {@code load-classes}: loads the classes that {@code serve} needs, and ends. The Java runtime writes them
- * to an archive, from which later starts load them faster. A class that only {@code serve} uses, and that is not loaded
- * here, slows each start.
+ * The command {@code load-classes}: loads the classes that {@code serve} needs, and ends. The Java runtime writes the
+ * loaded classes to a class data sharing archive, from which later starts load them faster. A class that {@code serve}
+ * needs and that is not loaded here slows down every start.
  */
 public final class LoadClassesCommand {
-    /** Time limit of the warm-up, in milliseconds; this process has no time by which to be ready. */
+    /**
+     * Time limit of the warm-up, in milliseconds. It is long because this process does not have to be ready in time.
+     */
     private static final long WARMUP_LIMIT_MS = 60_000;
 
     private LoadClassesCommand() {}
 
-    /** Loads the classes; the process ends with {@link ExitStatus#INVALID_CONFIG} where there is no configuration. */
+    /**
+     * Loads the classes. Ends the process with {@link ExitStatus#INVALID_CONFIG} if the configuration is missing or
+     * invalid.
+     */
     public static void run() {
         try {
             ProxyConfig config = ProxyConfig.read(ServeCommand.configFile());
@@ -24,11 +29,14 @@
             SignalHandlers.install(SignalHandlers.RELOAD, () -> {});
             listenAndStop(config);
         } catch (InvalidConfigException e) {
-            ServeCommand.exit(e);
+            ServeCommand.reportAndExit(e);
         }
     }
 
-    /** Loads what sockets need: the warm-up has none. The port is a free one, as the configured one may be in use. */
+    /**
+     * Loads the classes that sockets need, as the warm-up uses none. Listens on a free port, as the configured one may
+     * be in use.
+     */
     private static void listenAndStop(ProxyConfig config) {
         var freePort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         var server = new ProxyServer(config.withListenAddress(freePort));
--- a/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
@@ -20,9 +20,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One proxy: assembles its parts, starts them, reloads their configuration, drains and stops them. Its methods may be
- * called from any thread but the event loop, which several of them wait for. It owns the event loop of its transport,
- * which ends with {@link #stop}.
+ * One proxy: creates and connects its parts, starts them, reloads the configuration, and drains and stops the proxy.
+ * Its methods may be called on any thread except the event loop, as several of them wait for the event loop. The proxy
+ * owns the event loop of its transport and ends it in {@link #stop}.
  */
 public final class ProxyServer {
     private final ProxyConfig config;
@@ -34,20 +34,20 @@
     private final Frontend frontend;
     private final GracefulShutdown shutdown;
 
-    /** Makes a proxy on sockets, with the load balancer that is in service. */
+    /** Creates a proxy that uses sockets and the load balancer of production. */
     ProxyServer(ProxyConfig config) {
         this(config, new EarliestDeadlineLoadBalancer(config.settings()));
     }
 
-    /** Makes a proxy on sockets. */
+    /** Creates a proxy that uses sockets. */
     public ProxyServer(ProxyConfig config, LoadBalancer loadBalancer) {
         this(config, loadBalancer, Transport.sockets());
     }
 
     /**
-     * Makes a proxy. Nothing is opened yet.
+     * Creates a proxy. It does not open any connection yet.
      *
-     * @param transport what its connections are made of; its event loop is this proxy's alone
+     * @param transport creates the connections; its event loop must not be shared with another proxy
      */
     public ProxyServer(ProxyConfig config, LoadBalancer loadBalancer, Transport transport) {
         this.config = config;
@@ -72,10 +72,10 @@
     }
 
     /**
-     * Begins to serve.
+     * Starts to serve clients.
      *
-     * @return the address, or empty where the drain began meanwhile: no client is accepted then
-     * @throws InvalidConfigException if the address can't be listened on
+     * @return the listen address, or empty if the drain has begun meanwhile, in which case no client is accepted
+     * @throws InvalidConfigException if the proxy can't listen on the configured address
      */
     public Optional<InetSocketAddress> start() throws InvalidConfigException {
         ChannelFuture bound = listen().awaitUninterruptibly();
@@ -87,24 +87,26 @@
             throw InvalidConfigException.cannotListen(config.listenAddress().toString(), bound.cause());
         }
         var address = (InetSocketAddress) bound.channel().localAddress();
-        report("listening on " + address.getPort()
+        logWithName("listening on " + address.getPort()
                 + (config.isFirstStart() ? "" : ", restarted with a cached endpoint list"));
         return Optional.of(address);
     }
 
-    /** Loads the cached endpoints and listens. Returns the bind, which may have failed. */
+    /** Loads the cached endpoints and starts listening. Returns the future of the bind, which may have failed. */
     ChannelFuture listen() {
         loop.execute(() -> endpointWatcher.loadCachedEndpoints(config.cachedEndpoints()));
         if (endpointWatcher.hasLocalAgent()) {
-            // A pushed update binds a proxy from its first request on, so no client may be accepted before its arrival.
+            // A proxy must comply with a pushed update from its first request on, so it accepts no client before the
+            // first update has arrived.
             endpointWatcher.firstCallFuture().awaitUninterruptibly();
         }
         return frontend.listen(transport, config.listenAddress());
     }
 
     /**
-     * Reads a new configuration and applies it; one that can't be used is logged and ignored. Reading blocks the calling
-     * thread. Calls wait for one another, so that the state of the file at the last one counts.
+     * Reads the configuration file and applies the new configuration; an invalid one is logged and ignored. Blocks the
+     * calling thread while it reads. Concurrent calls run one after the other, so that the file's contents at the last
+     * call take effect.
      */
     public synchronized void reload(Path file) {
         try {
@@ -114,7 +116,7 @@
         }
     }
 
-    /** Takes over the address of discovery; all else holds until the next start. */
+    /** Applies the discovery address of a new configuration. All other changes take effect at the next start. */
     void applyConfig(ProxyConfig changed) {
         InetSocketAddress address = changed.discoveryAddress();
         loop.execute(() -> {
@@ -123,32 +125,36 @@
         });
     }
 
-    /** Logs why a new configuration can't be used; the one in force stays so. */
+    /** Logs why a new configuration is invalid. The current one stays in force. */
     void rejectConfig(Exception reason) {
-        loop.execute(() -> log.write("the new configuration is left alone: " + reason.getMessage()));
+        loop.execute(() -> log.write(
+                config.name() + ": can't use the new configuration, keeping the current one: " + reason.getMessage()));
     }
 
-    /** Logs a line under the proxy's name. */
-    void report(String text) {
+    /** Logs a line that begins with the proxy's name. */
+    void logWithName(String text) {
         loop.execute(() -> log.write(config.name() + ": " + text));
     }
 
-    /** Answers all requests in flight, has the clients reconnect elsewhere, and returns in time for the process to end. */
+    /**
+     * Shuts down gracefully: answers all requests in flight and closes the clients' connections, so that they reconnect
+     * to another proxy. Returns early enough for the process to end before SIGKILL.
+     */
     public void drain() {
         shutdown.run();
     }
 
-    /** Returns the number of requests that wait for a response or have attempts in flight. */
+    /** Returns the number of requests that await a response or have an attempt in flight. */
     public int openRequests() {
         return dispatcher.openRequests();
     }
 
-    /** Returns the number of connected clients. */
+    /** Returns the number of clients' connections, as {@link Frontend#connectedClients} counts them. */
     public int connectedClients() {
         return frontend.connectedClients();
     }
 
-    /** Ends the event loop, and with it all connections; returns when it has ended. */
+    /** Ends the event loop and with it all connections. Returns when the event loop has ended. */
     public void stop() {
         loop.submit(() -> endpointWatcher.watch(false)).awaitUninterruptibly();
         loop.parent().shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
--- a/src/main/java/gaugegw/proxy/lifecycle/ServeCommand.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/ServeCommand.java
@@ -7,20 +7,20 @@
 import java.nio.file.Path;
 
 /**
- * The command {@code serve}: runs one proxy until the process is terminated. SIGHUP reloads the configuration, SIGTERM
+ * The command {@code serve}: runs one proxy until the process is terminated. SIGHUP reloads the configuration; SIGTERM
  * drains the proxy and ends the process.
  */
 public final class ServeCommand {
-    /** Time from the start of a process within which it has to be ready, in milliseconds. */
+    /** Time after the start of the process by which the proxy must be ready, in milliseconds. */
     static final long READY_WITHIN_MS = 6_000;
 
-    /** Time for the start of the Java runtime on a share of a core, in milliseconds. */
+    /** Time that the Java runtime needs to start on a fraction of a CPU core, in milliseconds. */
     static final long RUNTIME_START_MS = 500;
 
     /**
-     * Time limit of the warm-up at a first start, in milliseconds. Clients are admitted only once it is over, and a
-     * restart whose endpoint list has never changed looks like a first start: without the limit, such a restart
-     * would not be ready in time.
+     * Time limit of the warm-up at a first start, in milliseconds. No client is accepted before the warm-up has ended.
+     * A restart with an endpoint list that has never changed can't be told from a first start, so it is warmed up too:
+     * without the limit it would not be ready in time.
      */
     static final long WARMUP_LIMIT_MS =
             READY_WITHIN_MS - RUNTIME_START_MS - EndpointWatcher.FIRST_SERVICE_CALL_TIMEOUT_MS;
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Starts a proxy and returns while it serves. The process ends by its signals, or with
-     * {@link ExitStatus#INVALID_CONFIG} where it can't start.
+     * Starts a proxy and returns while it serves. The process ends at a signal to terminate, or with
+     * {@link ExitStatus#INVALID_CONFIG} if the proxy can't start.
      */
     public static void run() {
         try {
@@ -50,11 +50,11 @@
             }
             new ServeCommand(file, config).serve();
         } catch (InvalidConfigException e) {
-            exit(e);
+            reportAndExit(e);
         }
     }
 
-    /** Returns the configuration file that the environment names. */
+    /** Returns the path of the configuration file, which an environment variable sets. */
     static Path configFile() throws InvalidConfigException {
         String file = System.getenv(CONFIG_VARIABLE);
         if (file == null || file.isEmpty()) {
@@ -63,45 +63,55 @@
         return Path.of(file);
     }
 
-    /** Reports a configuration that can't be used, and ends the process at once: there are no clients to drain. */
-    static void exit(InvalidConfigException reason) {
-        System.err.println("bad configuration: " + reason.getMessage());
+    /** Reports an invalid configuration and ends the process at once, as no clients are connected that need a drain. */
+    static void reportAndExit(InvalidConfigException reason) {
+        System.err.println("invalid configuration, exiting: " + reason.getMessage());
         Runtime.getRuntime().halt(ExitStatus.INVALID_CONFIG);
     }
 
     private void serve() throws InvalidConfigException {
-        // Before the proxy listens: without a handler either signal ends the process, and loses the requests in flight.
+        // The handlers are installed before the proxy listens: without them either signal would end the process, and
+        // the requests in flight would be lost.
         Runtime.getRuntime().addShutdownHook(new Thread(this::drainAndHalt, "drain"));
-        handleTermination();
-        handleReload();
+        installTerminationHandler();
+        installReloadTrigger();
         server.start();
     }
 
-    /** The shutdown hook: no other hook and no finalization is waited for once all requests are answered. */
+    /**
+     * The shutdown hook: drains the proxy, then halts the process without waiting for other shutdown hooks or for
+     * finalization.
+     */
     private void drainAndHalt() {
         server.drain();
         Runtime.getRuntime().halt(ExitStatus.SUCCESS);
     }
 
-    /** The runtime's own handler does the same; installing one shows whether the signal can be received at all. */
-    private void handleTermination() {
+    /**
+     * Installs a handler for SIGTERM. It does the same as the Java runtime's own handler; installing it shows whether
+     * the process can receive the signal.
+     */
+    private void installTerminationHandler() {
         if (!SignalHandlers.install(SignalHandlers.TERMINATE, () -> System.exit(ExitStatus.SUCCESS))) {
-            server.report(
-                    "SIGTERM is inherited as ignored: nothing but SIGKILL ends this process, and without a drain");
+            server.logWithName(
+                    "SIGTERM was already ignored when this process started: only SIGKILL can end it, without a drain");
         }
     }
 
-    /** Reloads at each signal or, where it can't be received, at each replacement of the file, but never at both. */
-    private void handleReload() {
+    /**
+     * Reloads the configuration at each SIGHUP or, if the process can't receive SIGHUP, at each replacement of the
+     * file; never at both.
+     */
+    private void installReloadTrigger() {
         if (SignalHandlers.install(SignalHandlers.RELOAD, () -> server.reload(configFile))) {
             return;
         }
-        server.report("SIGHUP is inherited as ignored: " + configFile + " is polled every "
+        server.logWithName("SIGHUP was already ignored when this process started: polling " + configFile + " every "
                 + ConfigFileWatcher.POLL_INTERVAL_MS + " ms for a new configuration");
         new ConfigFileWatcher(configFile, config, new ReloadListener()).start();
     }
 
-    /** Hands what the file's watcher finds to the proxy. */
+    /** Passes the changes that the file watcher finds to the proxy. */
     private final class ReloadListener implements ConfigFileWatcher.Listener {
         @Override
         public void configChanged(ProxyConfig changed) {
--- a/src/main/java/gaugegw/proxy/lifecycle/SignalHandlers.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/SignalHandlers.java
@@ -5,49 +5,49 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Installs handlers for POSIX signals. The one way to receive signals in Java 17 is {@code sun.misc.Signal}; it is
- * called by reflection, as the compiler's warning about it can't be suppressed.
+ * Installs handlers for POSIX signals. In Java 17 only {@code sun.misc.Signal} can receive signals. It is called by
+ * reflection, because the compiler warning about its use can't be suppressed.
  *
- * <p>A process inherits which signals are ignored ({@code nohup}, some supervisors). HotSpot leaves SIGHUP, SIGINT and
- * SIGTERM ignored where it finds them so: no handler takes effect, not at a second call either, and the runtime's own,
- * which starts the shutdown hooks, is missing too.
+ * <p>A process inherits the set of ignored signals from its parent, such as {@code nohup} or a supervisor. If SIGHUP,
+ * SIGINT or SIGTERM is ignored at the start, HotSpot leaves it ignored: a handler never takes effect, not even if it is
+ * installed a second time, and the runtime's own handler, which runs the shutdown hooks, is not installed either.
  */
 final class SignalHandlers {
-    /** SIGHUP: the configuration is to be reloaded. */
+    /** SIGHUP: reload the configuration. */
     static final String RELOAD = "HUP";
 
-    /** SIGTERM: the process is to drain and end. */
+    /** SIGTERM: drain the proxy and end the process. */
     static final String TERMINATE = "TERM";
 
     private SignalHandlers() {}
 
     /**
-     * Runs an action at each signal of a name, in place of what the runtime does. The runtime makes a thread for each
-     * signal, so that two of them may run the action at once, and the action may block.
+     * Installs a handler that runs an action at each signal with a name, in place of the runtime's own handler. The
+     * runtime creates a new thread for each signal: the action may block, and two threads may run it at the same time.
      *
-     * @param name without the prefix {@code SIG}
-     * @return false if the signal is inherited as ignored: the action never runs
-     * @throws IllegalStateException if this runtime can't handle the signal
+     * @param name the name of the signal without the prefix {@code SIG}
+     * @return false if the signal was ignored when the process started, in which case the action never runs
+     * @throws IllegalStateException if no handler can be installed for the signal
      */
     static boolean install(String name, Runnable action) {
         try {
             Class<?> signalType = Class.forName("sun.misc.Signal");
             Class<?> handlerType = Class.forName("sun.misc.SignalHandler");
             Object signal = signalType.getConstructor(String.class).newInstance(name);
-            Object previous = signalType
+            Object previousHandler = signalType
                     .getMethod("handle", signalType, handlerType)
                     .invoke(null, signal, handler(handlerType, action));
-            Object ignored = handlerType.getField("SIG_IGN").get(null);
-            return previous != ignored;
+            Object ignoringHandler = handlerType.getField("SIG_IGN").get(null);
+            return previousHandler != ignoringHandler;
         } catch (InvocationTargetException e) {
-            throw new IllegalStateException("SIG" + name + " can't be handled", e.getCause());
+            throw new IllegalStateException("could not install a handler for SIG" + name, e.getCause());
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("this Java runtime can't handle signals", e);
+            throw new IllegalStateException("this Java runtime does not support signal handlers", e);
         }
     }
 
     private static Object handler(Class<?> handlerType, Runnable action) {
-        InvocationHandler handler = (self, method, arguments) -> {
+        InvocationHandler handler = (proxy, method, arguments) -> {
             if (method.getName().equals("handle")) {
                 action.run();
             }
--- a/src/main/java/gaugegw/proxy/lifecycle/StubClients.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/StubClients.java
@@ -19,18 +19,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The stub clients of a warm-up. Each sends its next request once the last is answered, and all pause between two
- * rounds. Their state belongs to the event loop of the transport.
+ * The stub clients of a warm-up. Each client sends its next request when its last one has been answered. The requests
+ * are sent in rounds, and all clients pause between two rounds. The state is accessed on the event loop of the
+ * transport only.
  */
 final class StubClients {
     private static final int CLIENTS = 8;
 
-    /** Requests of a complete warm-up; by then the serving path is compiled. */
-    private static final int REQUESTS = 12_000;
+    /** Number of requests in a complete warm-up: enough for the code that serves requests to be compiled. */
+    private static final int TOTAL_REQUESTS = 12_000;
 
-    /** Requests between two pauses of all clients, so that the event loop waits now and then as it does in service. */
+    /** Number of requests between two pauses. In a pause the event loop waits, as it does in production. */
     private static final int REQUESTS_PER_ROUND = 240;
 
+    /** Length of a pause, in milliseconds. */
     private static final long PAUSE_MS = 1;
 
     private final Transport transport;
@@ -39,13 +41,16 @@
     private final SyntheticRequests requests;
     private final CountDownLatch finishedClients = new CountDownLatch(CLIENTS);
     private final Set<ChannelHandlerContext> paused = new HashSet<>();
-    /** The number of requests after which the round that goes on ends. */
-    private int roundEnd = REQUESTS_PER_ROUND;
+    /** The value of {@link #sent} at which the current round ends. */
+    private int sentAtRoundEnd = REQUESTS_PER_ROUND;
 
-    /** Requests sent; beyond {@link #REQUESTS} it counts the clients that have found none left. */
+    /**
+     * Number of requests sent. Beyond {@link #TOTAL_REQUESTS}, it also counts the clients that had no request left to
+     * send.
+     */
     private int sent;
 
-    private int served;
+    private int successCount;
 
     StubClients(Transport transport, InetSocketAddress proxyAddress, SyntheticRequests requests) {
         this.transport = transport;
@@ -54,24 +59,24 @@
         this.requests = requests;
     }
 
-    /** Connects all clients, which begin to send. Called from another thread than the loop's. */
+    /** Connects all clients, which then begin to send requests. Called on another thread than the event loop. */
     void connect() {
         for (int i = 0; i < CLIENTS; i++) {
-            connectOne();
+            connectClient();
         }
     }
 
-    /** Waits until no client has a request left to send or the time is up. */
+    /** Waits until no client has a request left to send, or until the timeout. */
     void awaitAllSent(long timeout, TimeUnit unit) throws InterruptedException {
         finishedClients.await(timeout, unit);
     }
 
-    /** Returns the number of requests answered with 200; of use once the event loop has ended. */
-    int served() {
-        return served;
+    /** Returns the number of requests answered with status 200. To be called once the event loop has ended. */
+    int successCount() {
+        return successCount;
     }
 
-    private void connectOne() {
+    private void connectClient() {
         transport.clientBootstrap().clone().handler(initializer()).connect(transport.toSocketAddress(proxyAddress));
     }
 
@@ -90,12 +95,12 @@
 
     private void sendNext(ChannelHandlerContext ctx) {
         assert loop.inEventLoop();
-        if (sent >= roundEnd && sent < REQUESTS) {
+        if (sent >= sentAtRoundEnd && sent < TOTAL_REQUESTS) {
             pause(ctx);
             return;
         }
         sent++;
-        if (sent > REQUESTS) {
+        if (sent > TOTAL_REQUESTS) {
             finishedClients.countDown();
             return;
         }
@@ -110,13 +115,13 @@
     }
 
     private void resume() {
-        roundEnd += REQUESTS_PER_ROUND;
+        sentAtRoundEnd += REQUESTS_PER_ROUND;
         List<ChannelHandlerContext> resumed = List.copyOf(paused);
         paused.clear();
         resumed.forEach(this::sendNext);
     }
 
-    /** One connection of a client. */
+    /** The handler of one client's connection. */
     private final class StubClient extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
@@ -126,17 +131,17 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
             if (response.status().equals(HttpResponseStatus.OK)) {
-                served++;
+                successCount++;
             }
             sendNext(ctx);
         }
 
-        /** Reconnects: on a slow machine the proxy closes the connection of a client that was paused for too long. */
+        /** Reconnects: on a slow machine the proxy closes the connections of clients whose pause takes too long. */
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             paused.remove(ctx);
-            if (sent <= REQUESTS && !loop.isShuttingDown()) {
-                connectOne();
+            if (sent <= TOTAL_REQUESTS && !loop.isShuttingDown()) {
+                connectClient();
             }
         }
     }
--- a/src/main/java/gaugegw/proxy/lifecycle/StubServer.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/StubServer.java
@@ -16,23 +16,26 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.nio.charset.StandardCharsets;
 
-/** Answers as a backend or, on its paths, as discovery. Holds no state of a connection, so that all share it. */
+/**
+ * Responds to requests like a backend or, on discovery's paths, like discovery. Has no state per connection, so that
+ * all connections share one instance.
+ */
 @ChannelHandler.Sharable
 final class StubServer extends SimpleChannelInboundHandler<FullHttpRequest> {
-    private static final String DISCOVERY_PATH = "/v1/";
+    private static final String DISCOVERY_PATH_PREFIX = "/v1/";
 
     private final byte[] endpointList;
 
     /**
-     * Makes a server.
+     * Creates a server.
      *
-     * @param endpointList the answer of discovery
+     * @param endpointList the response of discovery
      */
     StubServer(String endpointList) {
         this.endpointList = endpointList.getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** Returns what sets up a connection that this server has accepted. */
+    /** Returns the initializer for the connections that this server accepts. */
     ChannelInitializer<Channel> initializer() {
         return new ChannelInitializer<>() {
             @Override
@@ -48,14 +51,17 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-        if (!request.uri().startsWith(DISCOVERY_PATH)) {
+        if (!request.uri().startsWith(DISCOVERY_PATH_PREFIX)) {
             respond(ctx, SyntheticRequests.BODY);
         } else if (!isHeld(request.uri())) {
             respond(ctx, endpointList);
         }
     }
 
-    /** Returns whether a call waits for a change of the list. None comes, and such a call is never answered. */
+    /**
+     * Returns whether a call to discovery is held until the list changes. As the list never changes, such a call is
+     * never answered.
+     */
     private static boolean isHeld(String uri) {
         return uri.contains("hold_ms") && !uri.contains("hold_ms=0");
     }
--- a/src/main/java/gaugegw/proxy/lifecycle/SyntheticRequests.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/SyntheticRequests.java
@@ -15,9 +15,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Makes the requests of a warm-up, of each request class and tenant in turn. */
+/** Creates the requests of a warm-up, which cycle through the request classes and tenants. */
 final class SyntheticRequests {
-    /** A body of common length, of requests and responses. Not to be written to. */
+    /** The body of requests and responses, of a typical length. Must not be modified. */
     static final byte[] BODY = "x".repeat(1_000).getBytes(StandardCharsets.US_ASCII);
 
     private static final long MICROS_PER_MILLI = 1_000;
@@ -31,9 +31,9 @@
     }
 
     /**
-     * Returns a request, which the caller releases or writes.
+     * Creates a request, which the caller writes or releases.
      *
-     * @param number distinguishes the request from all others of the warm-up
+     * @param number a number that no other request of the warm-up has
      */
     FullHttpRequest create(int number) {
         RequestClass requestClass = classes.get(number % classes.size());
--- a/src/main/java/gaugegw/proxy/lifecycle/Warmup.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/Warmup.java
@@ -11,10 +11,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Warms up the Java runtime before the proxy serves clients: classes are loaded and hot methods compiled, which on a
- * share of a core would otherwise delay the requests of the first seconds. Everything stays inside the process: a second
- * proxy with stub clients, backends and discovery, connected by Netty's in-process channels, on an event loop that ends
- * with the warm-up.
+ * Warms up the Java runtime before the proxy serves clients: classes are loaded and hot methods are compiled. On a
+ * fraction of a CPU core, this would otherwise delay the requests of the first seconds. The warm-up stays inside the
+ * process: it runs a second proxy with stub clients, stub backends and a stub discovery, connected by Netty's
+ * in-process channels, on an event loop of its own that ends with the warm-up.
  */
 final class Warmup {
     private static final int BACKENDS = 10;
@@ -41,11 +41,11 @@
     }
 
     /**
-     * Serves synthetic requests until all of them are sent or the time is up. Blocks the calling thread.
+     * Serves synthetic requests until all of them have been sent or the time is up. Blocks the calling thread.
      *
-     * @param config the configuration of the proxy to warm up for; classes and tenants come from its settings
-     * @param timeoutMs the longest time that this may take, in milliseconds
-     * @return the number of requests answered with 200
+     * @param config the configuration of the real proxy; its settings determine the request classes and tenants
+     * @param timeoutMs the time after which the warm-up ends, in milliseconds
+     * @return the number of requests answered with status 200
      */
     static int run(ProxyConfig config, long timeoutMs) {
         return new Warmup(config).run(timeoutMs);
@@ -64,8 +64,8 @@
         } finally {
             server.stop();
         }
-        // The loop that counts them has ended.
-        return clients.served();
+        // The event loop that updates this count has ended.
+        return clients.successCount();
     }
 
     private void startStubServers() {
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Returns the list of the stub backends, in discovery's form. */
+    /** Returns the list of the stub backends, in the format of discovery. */
     private static ObjectNode endpointList() {
         ObjectNode list = JsonTrees.object().put("version", 1).put("full", true);
         ArrayNode servers = list.putArray("servers");
--- a/src/test/java/gaugegw/proxy/lifecycle/SignalHandlersTest.java
+++ b/src/test/java/gaugegw/proxy/lifecycle/SignalHandlersTest.java
@@ -69,7 +69,8 @@
                 }
                 process.signal("TERM");
                 assertThat(process.awaitExit()).isZero();
-                assertThat(process.hasLogged("inherited as ignored")).isFalse();
+                assertThat(process.hasLogged("was already ignored when this process started"))
+                        .isFalse();
             }
         }
     }
@@ -86,12 +87,12 @@
             Files.writeString(file, ProxyFixture.configText(first.address()));
             try (var process = ProxyProcess.start(file, "trap '' HUP; ")) {
                 first.accept().read();
-                process.awaitLog("SIGHUP is inherited as ignored");
+                process.awaitLog("SIGHUP was already ignored when this process started");
                 replace(ProxyFixture.configText(second.address()));
                 assertThat(second.accept().read().firstLine()).isEqualTo(FIRST_CALL);
                 String config = ProxyFixture.configText(third.address());
                 Files.writeString(file, config.substring(0, config.length() / 2));
-                process.awaitLog("the new configuration is left alone");
+                process.awaitLog("can't use the new configuration, keeping the current one");
                 Files.writeString(file, config);
                 process.signal("HUP");
                 assertThat(third.accept().read().firstLine()).isEqualTo(FIRST_CALL);
@@ -105,7 +106,7 @@
         try (var discovery = new ScriptedServer()) {
             Files.writeString(file, ProxyFixture.configText(discovery.address()));
             try (var process = ProxyProcess.start(file, "trap '' TERM; ")) {
-                process.awaitLog("SIGTERM is inherited as ignored");
+                process.awaitLog("SIGTERM was already ignored when this process started");
             }
         }
     }
