--- a/src/main/java/gaugegw/balancer/EndpointSubset.java
+++ b/src/main/java/gaugegw/balancer/EndpointSubset.java
@@ -7,10 +7,10 @@
  *
  * <p>The subset consists of the first healthy endpoints in this proxy's {@link ProxyEndpointOrder}, so that every
  * endpoint is in the subsets of about equally many proxies. It restricts healthy endpoints only: an unhealthy endpoint
- * does not count toward its size, and the next one in the order joins instead.
+ * does not count toward its size, so the next one in the order is used as well.
  */
 final class EndpointSubset {
-    /** Number of proxies that share an endpoint, if there are that many. */
+    /** Number of proxies whose subsets include the same endpoint, if there are that many proxies. */
     private static final double PROXIES_PER_ENDPOINT = 3;
     /** An endpoint slower than this multiple of its kind's mean latency carries too little load to count. */
     private static final double SLOW_LATENCY_MULTIPLE = 4;
--- a/src/main/java/gaugegw/balancer/OutcomeRates.java
+++ b/src/main/java/gaugegw/balancer/OutcomeRates.java
@@ -27,7 +27,7 @@
                 ((outcome == AttemptOutcome.TIMEOUT ? 1 : 0) - timeoutRate) / ControlParameters.OUTCOME_WINDOW_ATTEMPTS;
     }
 
-    /** Records a request that was rejected or that failed for good. */
+    /** Records a request whose final answer is a rejection or a failure. */
     void recordRejection() {
         rejectionRate += (1 - rejectionRate) / ControlParameters.REJECTION_WINDOW_REQUESTS;
     }
--- a/src/main/java/gaugegw/balancer/ProxyEndpointOrder.java
+++ b/src/main/java/gaugegw/balancer/ProxyEndpointOrder.java
@@ -10,8 +10,8 @@
  *
  * <p>The proxies are therefore divided into groups of about as many proxies as there are endpoints, or form one group
  * if they are fewer. The proxies of one group use the same shuffled order and start at evenly spaced positions in it,
- * by weight. Each group has its own shuffled order, so that proxies with the same first endpoint differ in the next
- * one.
+ * by weight. Each group has its own shuffled order, so that proxies with the same first endpoint differ in
+ * the next one.
  */
 final class ProxyEndpointOrder {
     /** Tolerance for rounding errors where a start position falls on the boundary between two endpoints. */
--- a/src/main/java/gaugegw/balancer/SlowStartBudget.java
+++ b/src/main/java/gaugegw/balancer/SlowStartBudget.java
@@ -4,12 +4,15 @@
 import gaugegw.balancer.api.SafetyLimits;
 
 /**
- * Limits the attempts at an endpoint in slow start. The invariant: within any overload window, all proxies together
- * start fewer attempts than the endpoint's present capacity in that time multiplied by {@link
- * SafetyLimits#overloadMultiple}. More would make the endpoint fail before it is warm.
+ * Limits the attempts at an endpoint in slow start. The invariant: within any {@link SafetyLimits#overloadWindowUs}, all
+ * proxies together start fewer attempts than {@link SafetyLimits#overloadMultiple} times what the endpoint can serve in
+ * that time at its present capacity. More would make the endpoint fail before it is warm.
  */
 final class SlowStartBudget {
-    /** Fraction of the permitted load that is used, as requests vary in cost and the capacity is an estimate. */
+    /**
+     * Fraction of the permitted load that is used. The rest is a safety margin, because requests vary in cost and the
+     * capacity is an estimate.
+     */
     private static final double BUDGET_FRACTION = 0.4;
 
     private static final double FULLY_WARM = 1;
@@ -56,8 +59,8 @@
 
     /**
      * Estimates the part of an endpoint's full capacity that this proxy may use, in attempts per microsecond. The
-     * estimate is the throughput that this proxy gets from endpoints of the same weight, but at least an equal part,
-     * among all proxies, of one request at a time.
+     * estimate is the throughput that this proxy gets from endpoints of the same weight, but at least 1 / (latency of a
+     * request * number of proxies): one request at a time, shared equally by all proxies.
      */
     private double capacityPerUs(EndpointRecord endpoint) {
         LatencyAverage kindAverage = endpoint.latency().kindAverage();
--- a/src/test/java/gaugegw/balancer/EndpointHealthTest.java
+++ b/src/test/java/gaugegw/balancer/EndpointHealthTest.java
@@ -71,9 +71,8 @@
                             : failing ? AttemptOutcome.ERROR : AttemptOutcome.SUCCESS,
                     20 * MILLIS);
         }
-        // The test lasts ten seconds. Each of the six endpoints may fail a few requests before it is detected, and a
-        // few
-        // more after each backoff of 1.2, 2.4 and 4.8 s.
+        // The test lasts ten seconds. Each of the six endpoints may fail a few requests before it is detected, and
+        // a few more after each backoff of 1.2, 2.4 and 4.8 s.
         assertThat(failed).isLessThan(150);
     }
 
--- a/src/test/java/gaugegw/balancer/IdleConnectionTest.java
+++ b/src/test/java/gaugegw/balancer/IdleConnectionTest.java
@@ -21,8 +21,8 @@
     private final LoadBalancerDriver driver = new LoadBalancerDriver();
 
     /**
-     * Idle connections must be closed when the endpoint starts to drain, and a connection in use once its attempt has
-     * ended.
+     * Idle connections must be closed when the endpoint starts to drain, and a connection in use once its
+     * attempt has ended.
      */
     @Test
     void drainingClosesIdleConnectionsAtOnceAndOthersAfterTheirAttempt() {
--- a/src/test/java/gaugegw/balancer/SlowStartFleetSimulation.java
+++ b/src/test/java/gaugegw/balancer/SlowStartFleetSimulation.java
@@ -221,8 +221,8 @@
         long inWindow = attemptTimesUs.stream()
                 .filter(timeUs -> timeUs > nowUs - SAFETY_LIMITS.overloadWindowUs())
                 .count();
-        // The attempts of independent proxies add up randomly, so the bound is the budget plus two standard deviations,
-        // plus two.
+        // The proxies spend their budgets independently, so their sum varies at random. The bound is the budget plus
+        // two standard deviations, plus two attempts.
         double budget = budget(endpoint);
         maxBoundUtilization = Math.max(maxBoundUtilization, inWindow / (budget + 2 * Math.sqrt(budget) + 2));
     }
--- a/src/test/java/gaugegw/balancer/SlowStartTest.java
+++ b/src/test/java/gaugegw/balancer/SlowStartTest.java
@@ -88,8 +88,7 @@
             attemptsAtCold += proxyOfNine.serve(READ, 10 * MILLIS).equals("s3") ? 1 : 0;
         }
         // Similar endpoints serve 25 requests per second for this proxy. In the two seconds of the test, the new
-        // endpoint
-        // has 40% to 55% of that capacity. The budget is 0.4 times the overload multiple of 4 times that.
+        // endpoint has 40% to 55% of that capacity. The budget is 0.4 times the overload multiple of 4 times that.
         assertThat(attemptsAtCold).isBetween(15, 44);
     }
 
