--- a/src/main/java/gaugegw/balancer/SlowStartBudget.java
+++ b/src/main/java/gaugegw/balancer/SlowStartBudget.java
@@ -4,9 +4,9 @@
 import gaugegw.balancer.api.SafetyLimits;
 
 /**
- * Limits the attempts at an endpoint in slow start. The invariant: within any {@link SafetyLimits#overloadWindowUs}, all
- * proxies together start fewer attempts than {@link SafetyLimits#overloadMultiple} times what the endpoint can serve in
- * that time at its present capacity. More would make the endpoint fail before it is warm.
+ * Limits the attempts at an endpoint in slow start. The invariant: within any {@link SafetyLimits#overloadWindowUs},
+ * all proxies together start fewer attempts than {@link SafetyLimits#overloadMultiple} times what the endpoint can
+ * serve in that time at its present capacity. More would make the endpoint fail before it is warm.
  */
 final class SlowStartBudget {
     /**
