--- a/src/main/java/gaugegw/proxy/transport/ConnectionLimiter.java
+++ b/src/main/java/gaugegw/proxy/transport/ConnectionLimiter.java
@@ -5,28 +5,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Limits the number of open connections of clients and to backends to the {@link DescriptorBudget}, so that the process
- * does not exceed its limit on file descriptors and a call to discovery always gets one. When client connections come
- * near their limit, they are closed with their responses. When a limit is exceeded, idle connections are evicted, that
- * is, closed. While evictions do not suffice, no connections are accepted, and new clients wait in the backlog of the
- * listening socket.
+ * Limits the number of open client and backend connections to the {@link DescriptorBudget}, so that the process does
+ * not exceed its limit on file descriptors and a call to discovery always gets one. When the number of client
+ * connections comes close to its limit, they are closed with their responses. When a limit is exceeded, idle
+ * connections are evicted, that is, closed. As long as that is not enough, no connections are accepted, and new clients
+ * wait in the backlog of the listening socket.
  *
  * <p>All methods except {@link #setListeningChannel} are called on the event loop. A connection counts from when it is
- * opened until its descriptor is released. Its handlers report here whether it is busy or idle; only an idle connection
- * and a new client may be evicted.
+ * opened until its descriptor is released. Its handlers report here whether it is busy or idle. Only idle connections
+ * and new client connections may be evicted.
  */
 public final class ConnectionLimiter {
-    /** A new client is not evicted for this long, as its first request may be on the way and would fail. */
+    /** A new client connection is not evicted for this long: its first request may be on the way and would fail. */
     private static final long FIRST_REQUEST_GRACE_NS = TimeUnit.MILLISECONDS.toNanos(20);
-    /** Above this percentage of the limit for clients, their connections are closed with their responses. */
+    /** Above this percentage of their limit, client connections are closed with their responses. */
     private static final int NEAR_CLIENT_LIMIT_PERCENT = 75;
 
     private final EventLoop loop;
     private final DescriptorBudget budget;
     private final EvictionQueue idleBackends = new EvictionQueue(0);
-    /** Connections of clients that have not sent a complete request yet. */
+    /** Client connections on which no complete request has been received yet. */
     private final EvictionQueue newClients = new EvictionQueue(FIRST_REQUEST_GRACE_NS);
-    /** Connections of clients that have received a response and have sent no complete request since. */
+    /** Client connections on which no complete request has been received since the last response. */
     private final EvictionQueue idleClients = new EvictionQueue(0);
 
     private int clients;
@@ -52,7 +52,7 @@
         listeningChannel = channel;
     }
 
-    /** Counts a client's connection that has been accepted, until it is closed and its descriptor is released. */
+    /** Counts an accepted client connection until it is closed and its descriptor is released. */
     public void clientOpened(Channel channel) {
         assert loop.inEventLoop();
         clients++;
@@ -66,14 +66,14 @@
         updateAccepting();
     }
 
-    /** Marks a client's connection as busy: it has a request in flight and must not be evicted. */
+    /** Marks a client connection as busy: it has a request in flight and must not be evicted. */
     public void clientBusy(Channel channel) {
         assert loop.inEventLoop();
         newClients.remove(channel);
         idleClients.remove(channel);
     }
 
-    /** Marks a client's connection as idle: it has no request in flight and may be evicted. */
+    /** Marks a client connection as idle: it has no request in flight and may be evicted. */
     public void clientIdle(Channel channel) {
         clientBusy(channel);
         if (channel.isOpen()) {
@@ -83,24 +83,24 @@
     }
 
     /**
-     * Returns whether connections of clients should be closed with their responses, because there are almost too many.
-     * Unlike an eviction, a close that a response announces can't cross the client's next request.
+     * Returns whether client connections should be closed with their responses, because their number is close to the
+     * limit. Unlike an eviction, a close that a response announces can't cross the client's next request.
      */
     public boolean isNearClientLimit() {
         return clients > budget.maxClients() * NEAR_CLIENT_LIMIT_PERCENT / 100;
     }
 
-    /** Returns whether a connection to a backend may be opened; evicts another connection if that is necessary. */
+    /** Returns whether a backend connection may be opened; evicts another connection if that is necessary. */
     public boolean makeRoomForBackend() {
         assert loop.inEventLoop();
-        // An evicted connection still holds its descriptor while the new one is opened: first check the hard limit.
+        // The hard limit applies in any case: an evicted connection keeps its descriptor until the new one is opened.
         return heldDescriptors() < budget.hardConnectionLimit()
                 && (Math.min(clients, budget.maxClients()) + backends < budget.softConnectionLimit()
                         || idleBackends.evictOldest()
                         || evictClient());
     }
 
-    /** Counts a connection to a backend that is about to connect, until it is closed and its descriptor is released. */
+    /** Counts a backend connection, which is about to connect, until it is closed and its descriptor is released. */
     public void backendOpened(Channel channel) {
         assert loop.inEventLoop();
         backends++;
@@ -112,13 +112,13 @@
         updateAccepting();
     }
 
-    /** Marks a connection to a backend as busy: it carries an attempt and must not be evicted. */
+    /** Marks a backend connection as busy: it carries an attempt and must not be evicted. */
     public void backendBusy(Channel channel) {
         assert loop.inEventLoop();
         idleBackends.remove(channel);
     }
 
-    /** Marks a connection to a backend as idle: it carries no attempt and may be evicted. */
+    /** Marks a backend connection as idle: it carries no attempt and may be evicted. */
     public void backendIdle(Channel channel) {
         backendBusy(channel);
         if (channel.isOpen()) {
@@ -159,8 +159,9 @@
     }
 
     /**
-     * Evicts connections in a task, if too many are open. By then the event loop has read the sockets that it already
-     * knows to be readable, and a connection that has received a request is busy and not evicted.
+     * Schedules a task that evicts connections, if too many are open. Before that task, the event loop reads the
+     * sockets that it already knows to be readable; a connection that has received a request is then busy and not
+     * evicted.
      */
     private void scheduleEviction() {
         if (overBudget() && !evictionScheduled) {
@@ -170,8 +171,8 @@
     }
 
     /**
-     * Evicts connections until the limits are kept or none may be evicted. If there are new clients left then, tries
-     * again when they may be evicted too.
+     * Evicts connections until the limits are kept or none may be evicted. In the second case, if there are new client
+     * connections, tries again when those may be evicted too.
      */
     private void evictDownToBudget() {
         evictionScheduled = false;
@@ -186,7 +187,7 @@
         }
     }
 
-    /** Evicts one connection, a client's if there are too many clients; returns whether there was one to evict. */
+    /** Evicts a connection, which is a client connection if there are too many of those; returns whether it did. */
     private boolean evictOne() {
         boolean tooManyClients = clients > budget.maxClients();
         return (!tooManyClients && idleBackends.evictOldest()) || evictClient();
--- a/src/main/java/gaugegw/proxy/transport/DescriptorBudget.java
+++ b/src/main/java/gaugegw/proxy/transport/DescriptorBudget.java
@@ -1,17 +1,17 @@
 package gaugegw.proxy.transport;
 
 /**
- * Divides the file descriptors that the process may have open among its uses.
+ * The limits on the number of connections that follow from the process's limit on file descriptors.
  *
- * @param softConnectionLimit the number of connections of clients and to backends above which no more are accepted and
- *     idle ones are evicted
- * @param maxClients the number of connections of clients above which the same applies
- * @param hardConnectionLimit the number of connections that may be open at any time, including those that are accepted
- *     in one iteration of the event loop before accepting is paused
+ * @param softConnectionLimit the number of client and backend connections above which no more are accepted and idle
+ *     connections are evicted
+ * @param maxClients the number of client connections above which the same applies
+ * @param hardConnectionLimit the maximum number of client and backend connections at any time, including those that are
+ *     accepted in one iteration of the event loop before accepting is paused
  */
 public record DescriptorBudget(int softConnectionLimit, int maxClients, int hardConnectionLimit) {
     /**
-     * Descriptors for the runtime. An idle process has these open (see {@code /proc/PID/fd}): three standard streams,
+     * Descriptors for the Java runtime. An idle process has open (see {@code /proc/PID/fd}): three standard streams,
      * the runtime's module file and the jar, two sources of random numbers, the selector's epoll and event descriptors,
      * the listening socket, and at times one more socket. The remaining ones are for files that are open briefly: the
      * configuration, the class data archive at startup, and files that the runtime loads later.
@@ -20,8 +20,8 @@
 
     /**
      * Descriptors for calls to discovery: the current watch, the previous one until the selector has released its
-     * descriptor, and the same two for a fetch of the complete list. These connections do not count towards the limits
-     * on connections, so that clients can't block them, however many there are.
+     * descriptor, and the same two for a fetch of the complete list. These calls do not count towards the limits below,
+     * so that clients can't block them, however many there are.
      */
     private static final int DISCOVERY_DESCRIPTORS = 4;
 
@@ -36,7 +36,7 @@
         int hardConnectionLimit =
                 descriptorLimit - RUNTIME_DESCRIPTORS - DISCOVERY_DESCRIPTORS - ENVIRONMENT_DESCRIPTORS;
         int softConnectionLimit = hardConnectionLimit - SocketTransport.MAX_ACCEPTS_PER_ITERATION;
-        // A request needs a client's connection and one to a backend: clients must leave enough for the latter.
+        // A request needs a client connection and a backend connection: clients must leave enough for the backends.
         int maxClients = softConnectionLimit * 5 / 8;
         return new DescriptorBudget(softConnectionLimit, maxClients, hardConnectionLimit);
     }
--- a/src/main/java/gaugegw/proxy/transport/EvictionQueue.java
+++ b/src/main/java/gaugegw/proxy/transport/EvictionQueue.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * Connections that may be closed so that others can use their descriptors, in the order in which they were added. Used
- * on the event loop only.
+ * Connections that may be closed to free their descriptors for other connections, in the order in which they were
+ * added. Used on the event loop only.
  */
 final class EvictionQueue {
     private final long minAgeNs;
@@ -17,7 +17,7 @@
     /**
      * Creates an empty queue.
      *
-     * @param minAgeNs how long a connection stays in the queue before it may be closed, in nanoseconds
+     * @param minAgeNs how long a connection must be in the queue before it may be closed, in nanoseconds
      */
     EvictionQueue(long minAgeNs) {
         this.minAgeNs = minAgeNs;
--- a/src/main/java/gaugegw/proxy/transport/SocketTransport.java
+++ b/src/main/java/gaugegw/proxy/transport/SocketTransport.java
@@ -60,12 +60,12 @@
         return new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
-                // Accept several connections at once: with one per iteration, clients would time out in the backlog
-                // while the event loop is busy.
+                // If only one connection were accepted per iteration, clients would time out in the backlog while the
+                // event loop is busy.
                 .option(
                         ChannelOption.RECVBUF_ALLOCATOR,
                         new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(MAX_ACCEPTS_PER_ITERATION))
-                // Read all that has been received, as only that shows whether the client has disconnected.
+                // Read everything that has been received: only then does the end of the stream become visible.
                 .childOption(
                         ChannelOption.RECVBUF_ALLOCATOR,
                         new AdaptiveRecvByteBufAllocator()
--- a/src/main/java/gaugegw/proxy/upstream/ResponseClassifier.java
+++ b/src/main/java/gaugegw/proxy/upstream/ResponseClassifier.java
@@ -22,8 +22,8 @@
     }
 
     /**
-     * Returns whether a response was decoded without an error and can be the response to the request, which it cannot
-     * be if it was received before the last byte of the request had been written.
+     * Returns whether a response was decoded without an error, and the complete request had been written when it was
+     * received: an earlier response can't be the response to this request.
      */
     static boolean isValid(HttpResponse response, boolean requestWritten) {
         return response.decoderResult().isSuccess() && requestWritten;
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamAttempt.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamAttempt.java
@@ -28,7 +28,7 @@
         WRITING,
         /** The complete request has been written, so the backend may have executed it. */
         AWAITING_RESPONSE,
-        /** The outcome is known and is reported to the listener; nothing that happens later changes it. */
+        /** The outcome has been determined; later events don't change it. */
         ENDED
     }
 
@@ -122,8 +122,8 @@
     }
 
     /**
-     * Ends the attempt at its timeout. If the request was not written completely, the outcome is one that proves that
-     * it was not executed; otherwise it may have been.
+     * Ends the attempt at its timeout. Before the request has been written completely, the outcome is {@link
+     * AttemptOutcome#CONNECT_FAILED}, which proves that it was not executed; afterwards it may have been.
      */
     private void timeOut() {
         abort(requestWritten ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED);
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
@@ -60,9 +60,9 @@
      *
      * @param kind whether the list is complete or holds only changes; must not be {@link UpdateKind#POLL_FAILED}, whose
      *     empty list would remove all endpoints
-     * @return the attempts on endpoints that are no longer ready, or have another address now, whose request has not
-     *     been written completely. The caller must abort them: a draining backend only completes the requests that it
-     *     has already received
+     * @return the attempts whose request has not been written completely and whose endpoint is no longer ready or has
+     *     another address now. The caller must abort them: a draining backend only completes the requests that it has
+     *     already received
      */
     public List<UpstreamAttempt> applyUpdate(UpdateKind kind, List<ListedEndpoint> listed) {
         assert context.loop().inEventLoop();
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamConnectionHandler.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamConnectionHandler.java
@@ -75,7 +75,7 @@
         return idleSinceUs;
     }
 
-    /** Returns whether the last response is long enough ago for the connection to be reused. */
+    /** Returns whether enough time has passed since the last response for the connection to be reused. */
     boolean hasReuseDelayPassed(long nowUs) {
         return nowUs - idleSinceUs >= REUSE_DELAY_US;
     }
@@ -113,7 +113,7 @@
         }
     }
 
-    /** Ends the attempt with the outcome that its response stands for, and pools or closes the connection. */
+    /** Ends the attempt with the outcome of its response, and returns the connection to its pool or closes it. */
     private void completeAttempt() {
         FullHttpResponse received = response;
         UpstreamAttempt completed = attempt;
@@ -190,7 +190,8 @@
         }
         UpstreamAttempt failed = attempt;
         attempt = null;
-        // If the attempt has already ended, the proxy closed the connection, and that is no reset by the backend.
+        // If the attempt has already ended, the proxy itself closed the connection, so this was no reset by the
+        // backend.
         if (!failed.isEnded()) {
             context.idleLimit().record(idleBeforeAttemptUs, decoder.receivedBytes() == 0);
         }
