--- a/src/test/java/gaugegw/proxy/testing/FullBacklog.java
+++ b/src/test/java/gaugegw/proxy/testing/FullBacklog.java
@@ -9,18 +9,20 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A listener that accepts nothing and whose backlog is full: a connect to it neither succeeds nor fails. */
+/**
+ * A listening socket that accepts no connection and whose backlog is full: a connect to it neither succeeds nor fails.
+ */
 public final class FullBacklog implements Closeable {
     private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-    private final List<Socket> fillers = new ArrayList<>();
+    private final List<Socket> backlogConnections = new ArrayList<>();
 
-    /** Connects until the kernel no longer completes a connect. */
+    /** Fills the backlog: opens connections until a connect no longer completes. */
     public FullBacklog() throws IOException {
         while (true) {
             var socket = new Socket();
             try {
                 socket.connect(new InetSocketAddress(server.getInetAddress(), server.getLocalPort()), 100);
-                fillers.add(socket);
+                backlogConnections.add(socket);
             } catch (java.net.SocketTimeoutException e) {
                 socket.close();
                 return;
@@ -28,15 +30,18 @@
         }
     }
 
-    /** Returns the address as an endpoint list has it. */
+    /** Returns the address in the format of an endpoint list. */
     public String address() {
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    /** Empties the backlog and returns the connection of the client that was waiting: its SYN is sent again. */
+    /**
+     * Empties the backlog, then accepts and returns the connection of the client whose connect was waiting. Its kernel
+     * sends the SYN again.
+     */
     public RawConnection acceptWaitingClient() throws IOException {
         server.setSoTimeout(10_000);
-        for (int i = 0; i < fillers.size(); i++) {
+        for (int i = 0; i < backlogConnections.size(); i++) {
             server.accept().close();
         }
         return new RawConnection(server.accept());
@@ -44,7 +49,7 @@
 
     @Override
     public void close() throws IOException {
-        for (Socket socket : fillers) {
+        for (Socket socket : backlogConnections) {
             socket.close();
         }
         server.close();
--- a/src/test/java/gaugegw/proxy/testing/ProxyFixture.java
+++ b/src/test/java/gaugegw/proxy/testing/ProxyFixture.java
@@ -23,7 +23,10 @@
 import java.util.function.Function;
 import java.util.function.UnaryOperator;
 
-/** A proxy on loopback whose decision module is given by the test; keeps the module's events and started attempts. */
+/**
+ * A proxy on the loopback interface, with a load balancer that the test provides. Records the events that the load
+ * balancer receives and the attempts that it starts.
+ */
 public final class ProxyFixture implements Closeable {
     private static final String CONFIG = """
             {"name":"n0","listen":"127.0.0.1:0","discovery":"%s","seed":"92094eb940cf389a",
@@ -43,61 +46,74 @@
               "projects":[{"name":"acme","allowance_per_s":100}]}}
             """;
 
-    /** The events that the decision module was given, in order; {@link #awaitEvent} removes them. */
+    /** The events that the load balancer has received, in order; {@link #awaitEvent} removes them. */
     public final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
-    /** The attempts that the decision module asked to start, in order. */
+    /** The attempts that the load balancer has started, in order. */
     public final BlockingQueue<Action.StartAttempt> startedAttempts = new LinkedBlockingQueue<>();
-    /** The discovery server, which the test plays. */
+    /** The discovery server, controlled by the test. */
     public final ScriptedServer discovery = new ScriptedServer();
 
-    private final ProxyServer serve;
-    /** Where the proxy listens for clients. */
+    private final ProxyServer server;
+    /** The address on which the proxy listens for clients. */
     public final InetSocketAddress address;
 
-    /** Raises all time limits of the settings to a minute, so that nothing expires while a test waits. */
+    /**
+     * Raises the latency objectives, deadlines, deduplication windows and the connect timeout of the settings to a
+     * minute, so that nothing expires while a test waits.
+     */
     public static final UnaryOperator<String> LONG_TIMEOUTS =
             config -> config.replaceAll("(aim|deadline|window)_us\":\\d+", "$1_us\":60000000")
                     .replace("connect_timeout_us\":200000", "connect_timeout_us\":60000000");
 
-    /** A decision module without a clock. */
+    /** A load balancer that a test provides; unlike the real one, it is not passed the time. */
     public interface StubLoadBalancer {
         void handle(Event event, Consumer<Action> actions);
     }
 
-    /** A proxy with the endpoints {@code s0}, {@code s1} and so on, one for each backend. */
-    public ProxyFixture(StubLoadBalancer module, ScriptedServer... backends) throws Exception {
-        this(module, 1_024, 15_000_000, backends);
+    /** Starts a proxy with the endpoints {@code s0}, {@code s1} and so on, one for each backend. */
+    public ProxyFixture(StubLoadBalancer loadBalancer, ScriptedServer... backends) throws Exception {
+        this(loadBalancer, 1_024, 15_000_000, backends);
     }
 
     /**
-     * A proxy with other limits.
+     * Starts a proxy with given limits.
      *
-     * @param sockets the limit of descriptors in the configuration
-     * @param idleUs the time after which a backend may close an idle connection, in microseconds
+     * @param sockets the limit on descriptors in the configuration
+     * @param idleUs the time after which a backend closes an idle connection, in microseconds
      */
-    public ProxyFixture(StubLoadBalancer module, int sockets, long idleUs, ScriptedServer... backends)
+    public ProxyFixture(StubLoadBalancer loadBalancer, int sockets, long idleUs, ScriptedServer... backends)
             throws Exception {
-        this(settings -> (now, event, actions) -> module.handle(event, actions), sockets, idleUs, c -> c, backends);
+        this(
+                settings -> (now, event, actions) -> loadBalancer.handle(event, actions),
+                sockets,
+                idleUs,
+                c -> c,
+                backends);
     }
 
-    /** A proxy whose configuration is edited; see {@link #LONG_TIMEOUTS}. */
-    public ProxyFixture(StubLoadBalancer module, UnaryOperator<String> edit, ScriptedServer... backends)
+    /** Starts a proxy with an edited configuration; see {@link #LONG_TIMEOUTS}. */
+    public ProxyFixture(StubLoadBalancer loadBalancer, UnaryOperator<String> edit, ScriptedServer... backends)
             throws Exception {
-        this(settings -> (now, event, actions) -> module.handle(event, actions), 1_024, 15_000_000, edit, backends);
+        this(
+                settings -> (now, event, actions) -> loadBalancer.handle(event, actions),
+                1_024,
+                15_000_000,
+                edit,
+                backends);
     }
 
-    /** A proxy with the real decision module. */
+    /** Starts a proxy with the real load balancer. */
     public static ProxyFixture withRealLoadBalancer(ScriptedServer... backends) throws Exception {
         return withRealLoadBalancer(c -> c, backends);
     }
 
-    /** A proxy with the real decision module whose configuration is edited. */
+    /** Starts a proxy with the real load balancer and an edited configuration. */
     public static ProxyFixture withRealLoadBalancer(UnaryOperator<String> edit, ScriptedServer... backends)
             throws Exception {
         return new ProxyFixture(EarliestDeadlineLoadBalancer::new, 1_024, 15_000_000, edit, backends);
     }
 
-    /** A proxy with the real decision module under a limit of descriptors. */
+    /** Starts a proxy with the real load balancer and a given limit on descriptors. */
     public static ProxyFixture withRealLoadBalancer(int sockets, ScriptedServer... backends) throws Exception {
         return new ProxyFixture(EarliestDeadlineLoadBalancer::new, sockets, 15_000_000, c -> c, backends);
     }
@@ -115,17 +131,17 @@
         }
         ProxyConfig config = ProxyConfig.parse(
                 parseJson(edit.apply(CONFIG.formatted(discovery.address(), sockets, servers, idleUs))));
-        LoadBalancer module = factory.apply(config.settings());
-        serve = new ProxyServer(config, (now, event, actions) -> {
+        LoadBalancer loadBalancer = factory.apply(config.settings());
+        server = new ProxyServer(config, (now, event, actions) -> {
             events.add(event);
-            module.handle(now, event, action -> {
-                if (action instanceof Action.StartAttempt send) {
-                    startedAttempts.add(send);
+            loadBalancer.handle(now, event, action -> {
+                if (action instanceof Action.StartAttempt started) {
+                    startedAttempts.add(started);
                 }
                 actions.accept(action);
             });
         });
-        address = serve.start().orElseThrow();
+        address = server.start().orElseThrow();
     }
 
     /** Parses JSON. */
@@ -133,45 +149,51 @@
         return JsonTrees.read(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** Returns a valid configuration without endpoints, to be edited. */
+    /** Returns a valid configuration without endpoints, as a tree that the caller may edit. */
     public static ObjectNode configTree() throws IOException {
         return (ObjectNode) parseJson(configText("127.0.0.1:1"));
     }
 
-    /** Returns a valid configuration without endpoints, with a given address of discovery. */
+    /** Returns a valid configuration without endpoints and with a given address of discovery, as JSON text. */
     public static String configText(String discovery) {
         return CONFIG.formatted(discovery, 1_024, "", 15_000_000);
     }
 
-    /** Has the proxy read a new configuration, as SIGHUP does. */
+    /** Makes the proxy read a new configuration, as it does at SIGHUP. */
     public void reload(String json) throws IOException {
         Path file = Files.createTempFile("config", ".json");
         try {
             Files.writeString(file, json);
-            serve.reload(file);
+            server.reload(file);
         } finally {
             Files.delete(file);
         }
     }
 
-    /** Formats an entry of an endpoint list. */
+    /** Returns an entry of an endpoint list as JSON text. */
     public static String endpointJson(String id, String address, String state) {
         return "{\"id\":\"%s\",\"addr\":\"%s\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":1,\"state\":\"%s\",\"weight\":1.0,\"started_ms\":7}"
                 .formatted(id, address, state);
     }
 
-    /** Formats a response of discovery: a complete list or changed entries. */
+    /**
+     * Returns a response of discovery as JSON text.
+     *
+     * @param full whether the entries are the complete list; if false, they are the changed ones
+     */
     public static String endpointListJson(long version, boolean full, String... entries) {
         return "{\"version\":%d,\"full\":%b,\"servers\":[%s]}".formatted(version, full, String.join(",", entries));
     }
 
-    /** A module that makes one attempt for each request, and fails the request if the attempt fails. */
+    /** Returns a load balancer that makes one attempt for each request and fails the request if the attempt fails. */
     public static StubLoadBalancer singleAttemptTo(String backend) {
         return singleAttemptTo(backend, 0);
     }
 
     /**
-     * As {@link #singleAttemptTo(String)}, with a timeout for the attempts in microseconds; 0: the request's deadline.
+     * As {@link #singleAttemptTo(String)}, with a timeout for the attempts.
+     *
+     * @param timeoutUs the timeout in microseconds; 0: the request's deadline
      */
     public static StubLoadBalancer singleAttemptTo(String backend, long timeoutUs) {
         return (event, actions) -> {
@@ -183,19 +205,25 @@
         };
     }
 
-    /** As {@link #singleAttemptTo}, but watches the endpoint list first; see {@link #answerWatchCall(String...)}. */
+    /**
+     * As {@link #singleAttemptTo(String)}, but starts to watch the endpoint list at the first event; see {@link
+     * #answerWatchCall}.
+     */
     public static StubLoadBalancer singleAttemptWithWatch(String backend) {
-        var watches = new boolean[1];
+        var watching = new boolean[1];
         return (event, actions) -> {
-            if (!watches[0]) {
-                watches[0] = true;
+            if (!watching[0]) {
+                watching[0] = true;
                 actions.accept(new Action.WatchEndpoints(true));
             }
             singleAttemptTo(backend).handle(event, actions);
         };
     }
 
-    /** Responds to the first call of the watch with changed entries; returns the connection of the next call. */
+    /**
+     * Responds to the watch's first call to discovery with changed entries. Returns the connection of the next call,
+     * which has been read.
+     */
     public RawConnection answerWatchCall(String... entries) throws IOException {
         RawConnection watch = discovery.accept();
         watch.read();
@@ -205,18 +233,18 @@
         return next;
     }
 
-    /** An idempotent request of the protocol. */
+    /** Returns the text of a valid idempotent request. */
     public static String get(String id) {
         return "GET /api?k=u1 HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: " + id
                 + "\r\nX-Priority-Class: read\r\nX-Tenant-Id: acme\r\nX-Timeout: 1900m\r\n\r\n";
     }
 
-    /** As {@link #get}, with a timeout longer than any test. */
+    /** As {@link #get}, with a timeout that is longer than any test. */
     public static String getWithLongTimeout(String id) {
         return get(id).replace("1900m", "60000m");
     }
 
-    /** A request that is idempotent with an idempotency key. */
+    /** Returns the text of a valid request that is idempotent with an idempotency key. */
     public static String post(String id, String body) {
         return "POST /api?k=u%201&x HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: " + id
                 + "\r\nX-Priority-Class: pay\r\nX-Tenant-Id: acme\r\nX-Timeout: 1900m\r\nIdempotency-Key: 5c0f"
@@ -228,14 +256,17 @@
         return RawConnection.connectTo(address);
     }
 
-    /** Waits until the proxy has handled everything that it received before. */
+    /**
+     * Waits until the proxy has handled everything that it received before this call: it makes a readiness check, which
+     * the event loop handles afterwards.
+     */
     public void awaitInputHandled() throws IOException {
         try (RawConnection probe = connectClient()) {
             probe.send("GET /ready HTTP/1.1\r\n\r\n").read();
         }
     }
 
-    /** Waits for the next event of a type, and drops those before it. */
+    /** Waits for the next event of a type, and removes it and all events before it. */
     public <T extends Event> T awaitEvent(Class<T> type) throws InterruptedException {
         while (true) {
             Event event = ScriptedServer.awaitNext(events);
@@ -245,24 +276,24 @@
         }
     }
 
-    /** Returns the number of requests that await a response or have attempts in flight. */
+    /** Returns the number of requests that await a response or have an attempt in flight. */
     public int openRequests() {
-        return serve.openRequests();
+        return server.openRequests();
     }
 
-    /** Returns the number of clients' connections. */
+    /** Returns the number of clients' connections, without those that a drain does not wait for. */
     public int connectedClients() {
-        return serve.connectedClients();
+        return server.connectedClients();
     }
 
-    /** Runs a graceful shutdown; returns at its end. */
+    /** Runs a graceful shutdown, and returns when it is complete. */
     public void drain() {
-        serve.drain();
+        server.drain();
     }
 
     @Override
     public void close() throws IOException {
-        serve.stop();
+        server.stop();
         discovery.close();
     }
 }
--- a/src/test/java/gaugegw/proxy/testing/ProxyProcess.java
+++ b/src/test/java/gaugegw/proxy/testing/ProxyProcess.java
@@ -14,27 +14,33 @@
 import java.util.jar.JarOutputStream;
 import java.util.stream.Stream;
 
-/** The program as the {@code run} command of {@code deploy/balancer.toml} starts it, with the classes under test. */
+/**
+ * The program in a process of its own, started by the {@code run} command of {@code deploy/balancer.toml} with the
+ * classes under test.
+ */
 public final class ProxyProcess implements Closeable {
     private static final String LISTENING = "listening on ";
     private static final String CLASS_PATH = classPath();
-    /** The jars of the test class path beyond the one that holds all classes in production; each takes a descriptor. */
-    public static final int EXTRA_JARS = (int) jars(Arrays.stream(CLASS_PATH.split(File.pathSeparator, -1))) - 1;
+    /**
+     * The number of jars on the test class path, less one. In production all classes are in a single jar; each further
+     * jar takes up a descriptor.
+     */
+    public static final int EXTRA_JARS = (int) countJars(Arrays.stream(CLASS_PATH.split(File.pathSeparator, -1))) - 1;
 
     private final Process process;
     private final List<String> log = new CopyOnWriteArrayList<>();
 
     private ProxyProcess(Process process) {
         this.process = process;
-        ScriptedServer.runInBackground(this::keepLog);
+        ScriptedServer.runInBackground(this::collectLog);
     }
 
     /**
-     * Starts the program with the default signal handling, even if the tests were started with signals ignored.
+     * Starts the program with default signal handling, even if the tests were started with signals ignored.
      *
-     * @param shell runs first, in the shell that becomes the program
+     * @param shellPrefix shell commands that run first, in the shell that then becomes the program
      */
-    public static ProxyProcess start(Path config, String shell) throws IOException {
+    public static ProxyProcess start(Path config, String shellPrefix) throws IOException {
         String run = Files.readAllLines(Path.of("deploy", "balancer.toml")).stream()
                 .filter(line -> line.startsWith("run = "))
                 .findFirst()
@@ -42,19 +48,19 @@
                 .replaceAll("^run = \"|\"$", "")
                 .replace("exec java", "exec '" + Path.of(System.getProperty("java.home"), "bin", "java") + "'")
                 .replace("-jar target/gaugegw.jar", "-cp \"$TEST_CLASS_PATH\" gaugegw.Main");
-        var command = new ProcessBuilder("env", "--default-signal=HUP,INT,TERM", "/bin/sh", "-c", shell + run)
+        var command = new ProcessBuilder("env", "--default-signal=HUP,INT,TERM", "/bin/sh", "-c", shellPrefix + run)
                 .redirectErrorStream(true);
         command.environment().put("TEST_CLASS_PATH", CLASS_PATH);
         command.environment().put("PROXY_CONFIG", config.toString());
         return new ProxyProcess(command.start());
     }
 
-    /** Starts the program under a limit of descriptors that the kernel enforces. */
+    /** Starts the program with a limit on descriptors that the kernel enforces. */
     public static ProxyProcess start(Path config, int descriptors) throws IOException {
         return start(config, "ulimit -n " + descriptors + "; ");
     }
 
-    private void keepLog() throws IOException {
+    private void collectLog() throws IOException {
         try (BufferedReader lines = process.inputReader(StandardCharsets.UTF_8)) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 log.add(line);
@@ -62,17 +68,17 @@
         }
     }
 
-    /** Waits until a line of the log holds a text. */
+    /** Waits until a line of the log contains a text. */
     public void awaitLog(String text) throws InterruptedException {
         ScriptedServer.await(() -> hasLogged(text));
     }
 
-    /** Returns whether a line of the log holds a text. */
+    /** Returns whether a line of the log contains a text. */
     public boolean hasLogged(String text) {
         return log.stream().anyMatch(line -> line.contains(text));
     }
 
-    /** Waits for the log line that names the listening port; returns the port. */
+    /** Waits for the log line with the port on which the proxy listens, and returns the port. */
     public int awaitPort() throws InterruptedException {
         awaitLog(LISTENING);
         String line =
@@ -84,7 +90,7 @@
     public int openDescriptors() {
         String[] open = new File("/proc/" + process.pid() + "/fd").list();
         if (open == null) {
-            throw new AssertionError("the process has ended");
+            throw new AssertionError("the process has ended, its descriptors can't be counted");
         }
         return open.length;
     }
@@ -92,7 +98,7 @@
     /** Returns the number of jars that the process has open. */
     public long openJars() throws IOException {
         try (Stream<Path> open = Files.list(Path.of("/proc/" + process.pid() + "/fd"))) {
-            return jars(open.map(ProxyProcess::target));
+            return countJars(open.map(ProxyProcess::linkTarget));
         }
     }
 
@@ -113,31 +119,34 @@
         process.destroyForcibly();
     }
 
-    private static long jars(Stream<String> names) {
+    private static long countJars(Stream<String> names) {
         return names.filter(name -> name.endsWith(".jar")).count();
     }
 
-    private static String target(Path descriptor) {
+    private static String linkTarget(Path descriptor) {
         try {
             return Files.readSymbolicLink(descriptor).toString();
         } catch (IOException e) {
-            // Closed since the directory was listed: not a jar, as those stay open.
+            // The descriptor was closed after the directory was listed. It was no jar, as jars stay open.
             return "";
         }
     }
 
-    /** Packs the classes into a jar, which stays open as in production: loading one late takes no descriptor. */
+    /**
+     * Returns the class path of the tests, with the classes under test packed into a jar. The jar stays open, as in
+     * production, so that a class which is loaded late takes up no descriptor.
+     */
     private static String classPath() {
         String[] parts = System.getProperty("java.class.path").split(File.pathSeparator, -1);
         Path classes = Path.of("target", "classes").toAbsolutePath();
         return String.join(
                 File.pathSeparator,
                 Arrays.stream(parts)
-                        .map(part -> Path.of(part).equals(classes) ? jar(classes) : part)
+                        .map(part -> Path.of(part).equals(classes) ? packIntoJar(classes) : part)
                         .toList());
     }
 
-    private static String jar(Path classes) {
+    private static String packIntoJar(Path classes) {
         try (Stream<Path> files = Files.walk(classes)) {
             Path jar = Files.createTempFile("classes", ".jar");
             jar.toFile().deleteOnExit();
--- a/src/test/java/gaugegw/proxy/testing/RawConnection.java
+++ b/src/test/java/gaugegw/proxy/testing/RawConnection.java
@@ -13,7 +13,10 @@
 import java.util.Locale;
 import java.util.Queue;
 
-/** One end of a connection, without an HTTP library: a test sees exactly the bytes that are sent, and when it ends. */
+/**
+ * One end of a TCP connection, without an HTTP library: a test sees exactly which bytes are sent and when the
+ * connection is closed.
+ */
 public final class RawConnection implements Closeable {
     private static final int READ_TIMEOUT_MS = 10_000;
 
@@ -37,13 +40,13 @@
         return new RawConnection(new Socket(InetAddress.getLoopbackAddress(), port));
     }
 
-    /** Writes a text, one byte a character. */
+    /** Sends a text, encoded as one byte per character. */
     public RawConnection send(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         return this;
     }
 
-    /** Reads one message with a content length; null if the connection ends before its first line. */
+    /** Reads an HTTP message. Returns null if the connection is closed before its first line. */
     public Message read() throws IOException {
         String first = line();
         if (first == null) {
@@ -59,12 +62,13 @@
         }
         byte[] body = in.readNBytes(length);
         if (body.length < length) {
-            throw new IOException("the body ended after " + body.length + " of " + length);
+            throw new IOException(
+                    "the connection was closed after " + body.length + " of " + length + " bytes of the body");
         }
         return new Message(first, headers.toString(), new String(body, StandardCharsets.ISO_8859_1));
     }
 
-    /** Responds to every request from now on, on a thread of its own, and adds the requests to a queue. */
+    /** Responds to all further requests in the same way, on a thread of its own, and adds the requests to a queue. */
     public void respondToAll(String response, Queue<Message> received) {
         ScriptedServer.runInBackground(() -> {
             for (Message request = read(); request != null; request = read()) {
@@ -74,7 +78,10 @@
         });
     }
 
-    /** Waits until the other side ends or resets the connection; returns whether it did, without sending anything. */
+    /**
+     * Waits until the peer closes or resets the connection. Returns false if it sends a byte before, or does neither
+     * within the timeout.
+     */
     public boolean awaitClose() throws IOException {
         try {
             return in.read() < 0;
@@ -85,11 +92,15 @@
         }
     }
 
-    /** Reads until the other side ends or resets the connection; returns whether it did. */
+    /**
+     * Drops the bytes that the peer sends until it closes or resets the connection, then returns true.
+     *
+     * @throws java.net.SocketTimeoutException if the peer does nothing within the timeout
+     */
     public boolean awaitCloseSkippingData() throws IOException {
         try {
             while (in.read() >= 0) {
-                // drop what was sent before the end
+                // The bytes before the close are of no interest.
             }
             return true;
         } catch (java.net.SocketException e) {
@@ -115,14 +126,19 @@
         socket.close();
     }
 
-    /** An HTTP message: its first line, its headers, each line preceded by a line feed, and its body. */
+    /**
+     * An HTTP message.
+     *
+     * @param firstLine the request line or status line
+     * @param headers the header lines, each of them preceded by a line feed
+     */
     public record Message(String firstLine, String headers, String body) {
         /** Returns the status code of a response. */
         public int status() {
             return Integer.parseInt(firstLine.split(" ", -1)[1]);
         }
 
-        /** Returns the value of a header, whatever the case of its name; null if there is none. */
+        /** Returns the value of a header, whose name is case-insensitive, or null if there is none. */
         public String header(String name) {
             return Arrays.stream(headers.split("\n"))
                     .filter(l -> l.regionMatches(true, 0, name + ":", 0, name.length() + 1))
--- a/src/test/java/gaugegw/proxy/testing/ScriptedServer.java
+++ b/src/test/java/gaugegw/proxy/testing/ScriptedServer.java
@@ -14,7 +14,7 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * A backend or discovery server under the control of a test, which accepts its connections and writes its responses.
+ * A backend or discovery server that a test controls: the test accepts the connections and writes the responses.
  */
 public final class ScriptedServer implements Closeable {
     private final ServerSocket server;
@@ -25,12 +25,12 @@
         server.setSoTimeout(10_000);
     }
 
-    /** Returns the address as an endpoint list has it. */
+    /** Returns the address in the format of an endpoint list. */
     public String address() {
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    /** Waits for a connection and accepts it; it is closed with the server. */
+    /** Waits for a connection and accepts it. It is closed when the server is closed. */
     public RawConnection accept() throws IOException {
         var connection = new RawConnection(server.accept());
         synchronized (open) {
@@ -39,7 +39,10 @@
         return connection;
     }
 
-    /** Has a client send a request; returns the new connection, on which the complete request has been read. */
+    /**
+     * Sends a request from a client and accepts the attempt that it causes. Returns the connection of the attempt, from
+     * which the complete request has been read.
+     */
     public RawConnection sendAndAcceptAttempt(RawConnection client, String requestId) throws IOException {
         client.send(ProxyFixture.get(requestId));
         RawConnection attempt = accept();
@@ -48,7 +51,8 @@
     }
 
     /**
-     * Responds to every request in the same way from now on, on threads of its own; returns the queue of the requests.
+     * Responds to all further requests in the same way, on threads of its own. Returns a queue that receives the
+     * requests.
      */
     public BlockingQueue<RawConnection.Message> respondToAll(String response) {
         var received = new LinkedBlockingQueue<RawConnection.Message>();
@@ -60,38 +64,38 @@
         return received;
     }
 
-    /** Formats a 200 response. */
+    /** Returns the text of a response with status 200. */
     public static String ok(String body) {
         return response("200 OK", body);
     }
 
-    /** Formats a response with a content length. */
+    /** Returns the text of a response with a content length. */
     public static String response(String status, String body, String... headers) {
         return "HTTP/1.1 " + status + "\r\n" + (headers.length == 0 ? "" : String.join("\r\n", headers) + "\r\n")
                 + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** Waits for the next element of a queue. */
+    /** Waits for the next element of a queue and removes it. */
     public static <T> T awaitNext(BlockingQueue<T> queue) throws InterruptedException {
         T next = queue.poll(10, TimeUnit.SECONDS);
         if (next == null) {
-            throw new AssertionError("timed out: nothing in the queue");
+            throw new AssertionError("no element was added to the queue within 10 s");
         }
         return next;
     }
 
-    /** Polls a condition until it holds: for state that no event reports. */
+    /** Polls a condition until it is true; for state whose changes are not reported by an event. */
     public static void await(BooleanSupplier condition) throws InterruptedException {
-        long startNs = System.nanoTime();
+        long startedAtNs = System.nanoTime();
         while (!condition.getAsBoolean()) {
-            if (System.nanoTime() - startNs > 10_000_000_000L) {
-                throw new AssertionError("timed out: the condition does not hold");
+            if (System.nanoTime() - startedAtNs > 10_000_000_000L) {
+                throw new AssertionError("the condition was still false after 10 s");
             }
             Thread.sleep(1);
         }
     }
 
-    /** Blocks the calling thread, in tests the proxy's event loop, until a latch is released. */
+    /** Blocks the calling thread until a latch is released; tests block the proxy's event loop with it. */
     public static void await(CountDownLatch latch) {
         try {
             latch.await();
@@ -100,18 +104,18 @@
         }
     }
 
-    /** Work on a socket that may be closed meanwhile. */
+    /** A task that uses a socket which may be closed meanwhile. */
     public interface SocketTask {
         void run() throws IOException;
     }
 
-    /** Runs work on a daemon thread; it ends when its socket is closed. */
-    public static void runInBackground(SocketTask work) {
+    /** Runs a task on a daemon thread. An {@link IOException}, as when its socket is closed, ends the task. */
+    public static void runInBackground(SocketTask task) {
         var thread = new Thread(() -> {
             try {
-                work.run();
+                task.run();
             } catch (IOException e) {
-                // The test has ended or the other side has disconnected: there is nothing more to respond to.
+                // The test has ended or the peer has disconnected, so that the task has nothing more to do.
             }
         });
         thread.setDaemon(true);
--- a/src/test/java/gaugegw/proxy/testing/package-info.java
+++ b/src/test/java/gaugegw/proxy/testing/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What the tests of the proxy share: a proxy on loopback with a decision module that the test gives, and the clients,
- * backends and discovery around it, which the test plays over plain sockets.
+ * Shared helpers of the proxy's tests: a proxy on the loopback interface with a load balancer that the test provides,
+ * and the clients, backends and discovery server around it, which the test controls over plain sockets.
  *
- * <p>Everything that a test opens it also closes. Waits end with an error after ten seconds.
+ * <p>A test closes everything that it opens. Waits fail with an error after ten seconds.
  */
 package gaugegw.proxy.testing;
