--- a/src/test/java/gaugegw/proxy/client/ClientConnectionClosingTest.java
+++ b/src/test/java/gaugegw/proxy/client/ClientConnectionClosingTest.java
@@ -10,20 +10,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Connections of clients that the proxy closes, and when. */
+/** When the proxy closes the connections of clients, and how. */
 class ClientConnectionClosingTest {
-    private static final ProxyFixture.StubLoadBalancer SILENT = (event, actions) -> {};
+    private static final ProxyFixture.StubLoadBalancer NO_ACTIONS = (event, actions) -> {};
 
     /**
-     * A client connects and sends no complete request, or only a byte now and then. Its connection is closed after a
-     * time limit that the single bytes do not renew.
+     * A client connects and sends nothing, or sends an incomplete request and then single bytes. Its connection must be
+     * closed after a time limit, which the single bytes must not extend.
      */
     @ParameterizedTest
     @ValueSource(strings = {"", "GET /api HT", "POST /api HTTP/1.1\r\nContent-Length: 900\r\n\r\nhalf"})
     void closesConnectionWithoutACompleteRequest(String partialRequest) throws Exception {
-        try (var proxy = new ProxyFixture(SILENT);
+        try (var proxy = new ProxyFixture(NO_ACTIONS);
                 var client = proxy.connectClient()) {
-            long connectedNs = System.nanoTime();
+            long connectedAtNs = System.nanoTime();
             client.send(partialRequest);
             if (!partialRequest.isEmpty()) {
                 ScriptedServer.runInBackground(() -> {
@@ -35,7 +35,7 @@
                 assertThat(client.read().status()).isEqualTo(408);
             }
             assertThat(client.awaitCloseSkippingData()).isTrue();
-            assertThat(System.nanoTime() - connectedNs).isGreaterThan(2_000_000_000L);
+            assertThat(System.nanoTime() - connectedAtNs).isGreaterThan(2_000_000_000L);
         }
     }
 
@@ -47,10 +47,10 @@
         }
     }
 
-    /** A connection on which no further request comes is closed. */
+    /** A connection is closed if no further request arrives on it. */
     @Test
     void closesIdleConnection() throws Exception {
-        try (var proxy = new ProxyFixture(SILENT);
+        try (var proxy = new ProxyFixture(NO_ACTIONS);
                 var client = proxy.connectClient()) {
             assertThat(client.send("GET /ready HTTP/1.1\r\n\r\n").read().status())
                     .isEqualTo(503);
@@ -59,11 +59,11 @@
     }
 
     /**
-     * A client goes on sending after its last response. Reading all of it would take the CPU from the other clients.
+     * A client keeps sending after its last response. Reading all of it would take CPU time from the other clients.
      */
     @Test
-    void closesConnectionThatSendsWithoutEnd() throws Exception {
-        try (var proxy = new ProxyFixture(SILENT);
+    void closesConnectionOfAClientThatKeepsSending() throws Exception {
+        try (var proxy = new ProxyFixture(NO_ACTIONS);
                 var client = proxy.connectClient()) {
             client.send(ProxyFixture.post("r1", "").replace("Content-Length: 0", "Content-Length: 60000000"));
             assertThat(client.read().status()).isEqualTo(413);
@@ -75,20 +75,20 @@
                     sent += chunk.length();
                 }
             } catch (IOException e) {
-                // expected: the proxy has closed the connection
+                // Expected: the proxy has closed the connection.
             }
-            // The kernel's buffers on both sides may have taken a part.
+            // The kernel buffers on both sides may hold a part of it.
             assertThat(sent).isLessThan(20_000_000);
         }
     }
 
     /**
-     * A client still sends a body that is too long when it is rejected. If the connection were reset, the client could
-     * lose the error before it has read it.
+     * A request is rejected because its body is too long, while the client is still sending the body. If the connection
+     * were reset, the client could lose the error response before it has read it.
      */
     @Test
-    void rejectsBodyOverTheLimitWithoutReset() throws Exception {
-        try (var proxy = new ProxyFixture(SILENT);
+    void rejectsTooLongBodyWithoutReset() throws Exception {
+        try (var proxy = new ProxyFixture(NO_ACTIONS);
                 var client = proxy.connectClient()) {
             client.send(ProxyFixture.post("r1", "x".repeat(70_000)));
             assertThat(client.read().status()).isEqualTo(413);
@@ -96,10 +96,10 @@
         }
     }
 
-    /** A client sends {@code Connection: close}: the response carries it too, and the connection ends. */
+    /** A request has {@code Connection: close}: the response has it too, and the connection is closed. */
     @Test
     void closesConnectionAtTheClientsRequest() throws Exception {
-        try (var proxy = new ProxyFixture(SILENT);
+        try (var proxy = new ProxyFixture(NO_ACTIONS);
                 var client = proxy.connectClient()) {
             RawConnection.Message response = client.send("GET /other HTTP/1.1\r\nConnection: close\r\n\r\n")
                     .read();
--- a/src/test/java/gaugegw/proxy/client/ClientDisconnectTest.java
+++ b/src/test/java/gaugegw/proxy/client/ClientDisconnectTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients that close or reset their connection before they have a response. */
+/** Clients that close or reset their connection before they receive a response. */
 class ClientDisconnectTest {
-    private static final ProxyFixture.StubLoadBalancer SILENT = (event, actions) -> {};
+    private static final ProxyFixture.StubLoadBalancer NO_ACTIONS = (event, actions) -> {};
 
     /** Closes or resets a client's connection. */
     static void disconnect(RawConnection client, boolean reset) throws IOException {
@@ -31,15 +31,15 @@
         client.close();
     }
 
-    /** Edits the configuration: long time limits, and one endpoint {@code s0} that can't be connected to. */
+    /** Returns an edit of the configuration: long time limits, and an endpoint {@code s0} that accepts nothing. */
     static UnaryOperator<String> withEndpoint(FullBacklog backend) {
         String endpoints = "\"servers\":[" + ProxyFixture.endpointJson("s0", backend.address(), "ready") + "]";
         return config -> ProxyFixture.LONG_TIMEOUTS.apply(config).replace("\"servers\":[]", endpoints);
     }
 
     @Test
-    void decisionModuleIsNotifiedOfADisconnect() throws Exception {
-        try (var proxy = new ProxyFixture(SILENT)) {
+    void loadBalancerIsNotifiedOfADisconnect() throws Exception {
+        try (var proxy = new ProxyFixture(NO_ACTIONS)) {
             try (var client = proxy.connectClient()) {
                 client.send(ProxyFixture.get("r1"));
                 assertThat(proxy.awaitEvent(RequestArrived.class).requestId()).isEqualTo("r1");
@@ -49,8 +49,8 @@
     }
 
     /**
-     * The real decision module queues requests, and one of their clients disconnects. When there is capacity the other
-     * requests are sent and this one is not; nothing of it may remain in the proxy.
+     * The real load balancer queues requests, and the client of one of them disconnects. When there is capacity, the
+     * other requests must be sent but not this one, and the proxy must keep no state of it.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -64,36 +64,36 @@
                 proxy.awaitEvent(RequestArrived.class);
                 proxy.awaitInputHandled();
             }
-            List<String> sent =
+            List<String> sentIds =
                     proxy.startedAttempts.stream().map(s -> s.requestId()).toList();
-            for (int i = 0; i < sent.size(); i++) {
+            for (int i = 0; i < sentIds.size(); i++) {
                 attempts.add(backend.accept());
             }
             int queued = 0;
-            while (sent.contains("r" + queued)) {
+            while (sentIds.contains("r" + queued)) {
                 queued++;
             }
             disconnect(clients.get(queued), reset);
             assertThat(proxy.awaitEvent(ClientDisconnected.class).requestId()).isEqualTo("r" + queued);
-            var attempted = new ArrayList<String>(sent);
+            var attemptedIds = new ArrayList<String>(sentIds);
             for (int i = 0; i < attempts.size(); i++) {
                 RawConnection attempt = attempts.get(i);
                 attempt.read();
                 attempt.send(ScriptedServer.response("200 OK", "x", "Connection: close"));
                 proxy.awaitEvent(AttemptEnded.class);
                 proxy.awaitInputHandled();
-                while (attempted.size() < proxy.startedAttempts.size()) {
-                    attempted.add(List.copyOf(proxy.startedAttempts)
-                            .get(attempted.size())
+                while (attemptedIds.size() < proxy.startedAttempts.size()) {
+                    attemptedIds.add(List.copyOf(proxy.startedAttempts)
+                            .get(attemptedIds.size())
                             .requestId());
                     attempts.add(backend.accept());
                 }
             }
-            assertThat(attempted)
+            assertThat(attemptedIds)
                     .hasSize(clients.size() - 1)
                     .doesNotContain("r" + queued)
                     .doesNotHaveDuplicates();
-            // Nothing of it remains: neither the request nor its connection.
+            // No state of it remains: neither the request nor the connection.
             assertThat(proxy.openRequests()).isZero();
             ScriptedServer.await(() -> proxy.connectedClients() == clients.size() - 1);
         } finally {
@@ -104,12 +104,12 @@
     }
 
     /**
-     * The client disconnects while the attempt waits for its connection. It has not been sent, so it is dropped even
-     * where attempts can't be cancelled.
+     * The client disconnects while its attempt waits for a connection to the backend. As the attempt has not been sent,
+     * it must be dropped, even if the settings forbid cancelling attempts.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void attemptThatStillConnectsIsNotSentAfterADisconnect(boolean reset) throws Exception {
+    void connectingAttemptIsNotSentAfterADisconnect(boolean reset) throws Exception {
         try (var full = new FullBacklog();
                 var proxy = new ProxyFixture(
                         ProxyFixture.singleAttemptWithWatch("s1"),
@@ -129,9 +129,9 @@
         }
     }
 
-    /** As above for a retry, where the first attempt was never sent. */
+    /** As above, but the attempt that waits for a connection is a retry; the first attempt was not sent either. */
     @Test
-    void retryThatStillConnectsIsNotSentAfterADisconnect() throws Exception {
+    void connectingRetryIsNotSentAfterADisconnect() throws Exception {
         try (var full = new FullBacklog();
                 var proxy = new ProxyFixture(
                         (event, actions) -> {
@@ -151,11 +151,11 @@
     }
 
     /**
-     * The client disconnects after the request was written, and attempts can't be cancelled: the attempt goes on, and
-     * its response is dropped.
+     * The client disconnects after its request was written to the backend, and the settings forbid cancelling attempts.
+     * The attempt must continue, and its response must be dropped.
      */
     @Test
-    void writtenAttemptGoesOnWithoutCancellation() throws Exception {
+    void writtenAttemptContinuesIfItMayNotBeCancelled() throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = ProxyFixture.withRealLoadBalancer(
                         c -> ProxyFixture.LONG_TIMEOUTS.apply(c).replace("\"cancel\":true", "\"cancel\":false"),
--- a/src/test/java/gaugegw/proxy/client/ClientHalfCloseTest.java
+++ b/src/test/java/gaugegw/proxy/client/ClientHalfCloseTest.java
@@ -8,13 +8,13 @@
 import gaugegw.proxy.testing.ScriptedServer;
 import org.junit.jupiter.api.Test;
 
-/** Clients that end their sending alone: they may still read, so each complete request is responded to. */
+/** Clients that shut down only their output: they may still read, so each complete request must get a response. */
 class ClientHalfCloseTest {
-    private static final ProxyFixture.StubLoadBalancer SILENT = (event, actions) -> {};
+    private static final ProxyFixture.StubLoadBalancer NO_ACTIONS = (event, actions) -> {};
 
     /**
-     * A client ends its sending while its request is in flight. It may have gone, so no more work is done for it; but
-     * it may still read, and is sent a complete response.
+     * A client shuts down its output while its request is in flight. It may have gone, so the proxy does no more work
+     * for it. But it may still read, so it must get a complete response.
      */
     @Test
     void requestInFlightIsFailedAfterHalfClose() throws Exception {
@@ -31,12 +31,12 @@
     }
 
     /**
-     * A client sends two requests and ends its sending. The first is failed; the second has not been dispatched, and is
-     * rejected in order.
+     * A client sends two requests and shuts down its output. The first request must fail. The second one has not been
+     * dispatched and must be rejected, after the response to the first.
      */
     @Test
     void pipelinedRequestIsRejectedAfterHalfClose() throws Exception {
-        try (var proxy = new ProxyFixture(SILENT);
+        try (var proxy = new ProxyFixture(NO_ACTIONS);
                 var client = proxy.connectClient()) {
             client.send(ProxyFixture.getWithLongTimeout("r1") + ProxyFixture.getWithLongTimeout("r2"));
             proxy.awaitEvent(RequestArrived.class);
--- a/src/test/java/gaugegw/proxy/client/RequestForwardingTest.java
+++ b/src/test/java/gaugegw/proxy/client/RequestForwardingTest.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** Valid requests on their way to a backend and back. */
+/** Forwarding of valid requests to a backend and of responses to the client. */
 class RequestForwardingTest {
-    /** Request and response pass through unchanged but for the timeout and the hop-by-hop headers. */
+    /** Request and response are forwarded unchanged, except for the timeout and the hop-by-hop headers. */
     @Test
     void forwardsRequestAndResponseUnchanged() throws Exception {
         try (var backend = new ScriptedServer();
@@ -55,7 +55,7 @@
         }
     }
 
-    /** A rejection with a delay carries {@code Retry-After} in seconds; one without a delay has no such header. */
+    /** A rejection with a retry delay has a {@code Retry-After} header in seconds; one without a delay has none. */
     @Test
     void rejectionCarriesRetryAfter() throws Exception {
         try (var proxy = new ProxyFixture((event, actions) -> {
@@ -74,8 +74,8 @@
     }
 
     /**
-     * The event loop is delayed while a request waits to be read. The client's timeout runs from when it sent: if it
-     * were counted from the read, the response would come when the client has given up.
+     * The event loop is delayed while a received request waits to be read. The client's timeout started when it sent
+     * the request: if the proxy counted from the read, the response could arrive after the client has given up.
      */
     @Test
     void timeoutRunsWhileTheEventLoopIsDelayed() throws Exception {
@@ -85,14 +85,14 @@
                         ScriptedServer.await(release);
                     }
                 });
-                var one = proxy.connectClient();
-                var two = proxy.connectClient()) {
-            two.send("GET /ready HTTP/1.1\r\n\r\n").read();
-            one.send(ProxyFixture.get("r1"));
+                var delayingClient = proxy.connectClient();
+                var delayedClient = proxy.connectClient()) {
+            delayedClient.send("GET /ready HTTP/1.1\r\n\r\n").read();
+            delayingClient.send(ProxyFixture.get("r1"));
             proxy.awaitEvent(RequestArrived.class);
-            two.send(ProxyFixture.get("r2"));
-            long sentNs = System.nanoTime();
-            while (System.nanoTime() - sentNs < 400_000_000) {
+            delayedClient.send(ProxyFixture.get("r2"));
+            long sentAtNs = System.nanoTime();
+            while (System.nanoTime() - sentAtNs < 400_000_000) {
                 Thread.sleep(10);
             }
             release.countDown();
--- a/src/test/java/gaugegw/proxy/client/RequestPipeliningTest.java
+++ b/src/test/java/gaugegw/proxy/client/RequestPipeliningTest.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Requests that a client sends before it has the responses to those before. */
+/** Requests that a client sends before it has received the responses to its earlier requests. */
 class RequestPipeliningTest {
-    private static final ProxyFixture.StubLoadBalancer SILENT = (event, actions) -> {};
+    private static final ProxyFixture.StubLoadBalancer NO_ACTIONS = (event, actions) -> {};
 
     /**
-     * Each request has one response, in the order of the requests; of two responses by the decision module the first
-     * counts.
+     * Each request gets one response, in the order of the requests. If the load balancer decides twice on a request,
+     * only the first decision takes effect.
      */
     @Test
     void respondsOnceAndInOrder() throws Exception {
@@ -36,8 +36,8 @@
     }
 
     /**
-     * A client sends hundreds of requests at once. A few are served. The others must not take up memory while they
-     * wait, and each is rejected.
+     * A client sends hundreds of requests at once. A few of them are served. The others must be rejected one by one,
+     * and must not take up memory until then.
      */
     @Test
     @Timeout(30)
@@ -54,7 +54,7 @@
             client.send(all.toString());
             RawConnection attempt = backend.accept();
             attempt.read();
-            // From here on all of them have been read.
+            // All requests have now been read.
             proxy.awaitInputHandled();
             backend.respondToAll(ScriptedServer.ok("x"));
             attempt.send(ScriptedServer.response("200 OK", "x", "Connection: close"));
@@ -69,10 +69,11 @@
     }
 
     /**
-     * A malformed request follows one that is being served. Its error must neither overtake nor replace the response.
+     * A malformed request follows a request in flight. The error must be sent after the response to that request, and
+     * not in its place.
      */
     @Test
-    void malformedRequestIsRejectedAfterTheResponsesBefore() throws Exception {
+    void malformedRequestIsRejectedAfterEarlierResponses() throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
                 var client = proxy.connectClient()) {
@@ -87,12 +88,13 @@
     }
 
     /**
-     * Requests that were read completely follow an invalid one. None of them is dispatched, but each has a response.
+     * An invalid request is followed by complete requests that have already been read. None of them may be dispatched,
+     * but each must get a response.
      */
     @Test
     @Timeout(30)
-    void requestsBehindAnInvalidOneAreRejected() throws Exception {
-        try (var proxy = new ProxyFixture(SILENT);
+    void requestsAfterAnInvalidOneAreRejected() throws Exception {
+        try (var proxy = new ProxyFixture(NO_ACTIONS);
                 var client = proxy.connectClient()) {
             client.send(
                     ProxyFixture.get("r1").replace("acme", "nobody") + ProxyFixture.get("r2") + ProxyFixture.get("r3"));
@@ -105,8 +107,8 @@
     }
 
     /**
-     * Netty would reject an unsupported expectation at once, and the client would take that for the response that it
-     * waits for.
+     * Netty would reject an unsupported expectation at once, and the client would take this for the response to its
+     * earlier request.
      */
     @Test
     @Timeout(30)
--- a/src/test/java/gaugegw/proxy/client/RequestValidationTest.java
+++ b/src/test/java/gaugegw/proxy/client/RequestValidationTest.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Requests that are rejected before they are dispatched. */
+/** Validation of requests: invalid ones are rejected before they are dispatched. */
 class RequestValidationTest {
-    private static final ProxyFixture.StubLoadBalancer SILENT = (event, actions) -> {};
+    private static final ProxyFixture.StubLoadBalancer NO_ACTIONS = (event, actions) -> {};
 
     /**
-     * A request is invalid. It must not reach a backend or the decision module, and its connection is closed: a faulty
-     * client would send the same again as fast as it is rejected.
+     * An invalid request must not reach the load balancer or a backend. Its connection must be closed, or a faulty
+     * client could send the request again as fast as it is rejected.
      */
     @ParameterizedTest
     @CsvSource(
@@ -58,7 +58,10 @@
         }
     }
 
-    /** Proxy and backend may disagree on where such a request ends: a second request could be smuggled in its body. */
+    /**
+     * The proxy and a backend may disagree on where such a request ends. A client could then smuggle a second request
+     * to the backend in the body of the first.
+     */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -79,7 +82,7 @@
                 "nocolon"
             })
     void rejectsAmbiguousFraming(String framingHeaders) throws Exception {
-        try (var proxy = new ProxyFixture(SILENT);
+        try (var proxy = new ProxyFixture(NO_ACTIONS);
                 var client = proxy.connectClient()) {
             String head = ProxyFixture.post("r1", "").replace("Content-Length: 0", framingHeaders);
             assertThat(client.send(head + "0\r\n\r\n" + ProxyFixture.get("hidden"))
@@ -91,10 +94,10 @@
         }
     }
 
-    /** HTTP/1.0 has no transfer codings: the end of such a request is ambiguous too. */
+    /** HTTP/1.0 has no transfer codings, so the end of such a request is ambiguous too. */
     @Test
     void rejectsChunkedBodyOfHttp10() throws Exception {
-        try (var proxy = new ProxyFixture(SILENT);
+        try (var proxy = new ProxyFixture(NO_ACTIONS);
                 var client = proxy.connectClient()) {
             client.send(ProxyFixture.post("r1", "")
                             .replace("HTTP/1.1", "HTTP/1.0")
@@ -105,7 +108,7 @@
         }
     }
 
-    /** Control characters in the request target could end the request line that the proxy writes to the backend. */
+    /** Control characters in the request target could end the request line that the proxy sends to the backend. */
     @Test
     void rejectsControlCharactersInTheTarget() throws Exception {
         try (var backend = new ScriptedServer();
@@ -122,10 +125,10 @@
         }
     }
 
-    /** Without its key a repeated request would not be recognized as such by the backend. */
+    /** Without an idempotency key, the backend can't recognize a repeated request. */
     @Test
     void rejectsMissingIdempotencyKey() throws Exception {
-        try (var proxy = new ProxyFixture(SILENT);
+        try (var proxy = new ProxyFixture(NO_ACTIONS);
                 var client = proxy.connectClient()) {
             assertThat(client.send(ProxyFixture.post("r1", "x").replace("Idempotency-Key", "X-Other"))
                             .read()
@@ -134,15 +137,19 @@
         }
     }
 
-    /** Two requests with one id could not be distinguished; the second is rejected while the first is in flight. */
+    /**
+     * Two requests with the same id can't be told apart, so the second one is rejected while the first one is in
+     * flight.
+     */
     @Test
     void rejectsIdThatIsInFlight() throws Exception {
-        try (var proxy = new ProxyFixture(SILENT);
-                var one = proxy.connectClient();
-                var two = proxy.connectClient()) {
-            one.send(ProxyFixture.get("r1"));
+        try (var proxy = new ProxyFixture(NO_ACTIONS);
+                var firstClient = proxy.connectClient();
+                var secondClient = proxy.connectClient()) {
+            firstClient.send(ProxyFixture.get("r1"));
             proxy.awaitEvent(RequestArrived.class);
-            assertThat(two.send(ProxyFixture.get("r1")).read().status()).isEqualTo(409);
+            assertThat(secondClient.send(ProxyFixture.get("r1")).read().status())
+                    .isEqualTo(409);
         }
     }
 }
--- a/src/test/java/gaugegw/proxy/client/UnreadDisconnectTest.java
+++ b/src/test/java/gaugegw/proxy/client/UnreadDisconnectTest.java
@@ -22,14 +22,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Clients that disconnect while the event loop is busy: their close lies unread in the kernel when an attempt is about
- * to begin. No attempt may begin for a client that has gone.
+ * Clients that disconnect while the event loop is busy: the kernel has received their close, but the proxy has not read
+ * it when an attempt is about to begin. No attempt may begin for such a client.
  */
 class UnreadDisconnectTest {
-    private static final ProxyFixture.StubLoadBalancer SILENT = (event, actions) -> {};
+    private static final ProxyFixture.StubLoadBalancer NO_ACTIONS = (event, actions) -> {};
 
     /** Blocks the event loop until a latch is released. */
-    private static void block(CountDownLatch latch) {
+    private static void awaitRelease(CountDownLatch latch) {
         try {
             assertThat(latch.await(10, TimeUnit.SECONDS)).isTrue();
         } catch (InterruptedException e) {
@@ -37,43 +37,49 @@
         }
     }
 
-    /** Disconnects, and waits until the proxy's last read of the connection is long enough ago for it to read again. */
+    /**
+     * Disconnects a client, and waits until the proxy's last read of the connection is so long ago that the proxy reads
+     * it again before an attempt.
+     *
+     * @param kind {@code close}, {@code reset}, or {@code end} to shut down the output alone
+     */
     private static void disconnectUnread(RawConnection client, String kind) throws Exception {
         if (kind.equals("end")) {
             client.socket.shutdownOutput();
         } else {
             ClientDisconnectTest.disconnect(client, kind.equals("reset"));
         }
-        long startNs = System.nanoTime();
-        ScriptedServer.await(() -> System.nanoTime() - startNs > 40_000_000);
+        long startedAtNs = System.nanoTime();
+        ScriptedServer.await(() -> System.nanoTime() - startedAtNs > 40_000_000);
     }
 
     /**
-     * The event loop is blocked while a client disconnects. After that the response to {@code r1} brings the first
-     * attempt of {@code r2}, which was queued, or a retry of {@code r1}: it must not begin for a client that has gone.
+     * A client disconnects while the event loop is blocked. The load balancer then reacts to the failed attempt of
+     * {@code r1} with the first attempt of {@code r2}, which was queued, or with a retry of {@code r1}. This attempt
+     * must not begin if its client is the one that has disconnected.
      */
     @ParameterizedTest
     @CsvSource({"r2,close", "r2,reset", "r2,end", "r1,close", "r1,reset", "r1,end"})
     @Timeout(30)
     void noAttemptBeginsWhileACloseIsUnread(String id, String kind) throws Exception {
         var release = new CountDownLatch(1);
-        ProxyFixture.StubLoadBalancer module = (event, actions) -> {
+        ProxyFixture.StubLoadBalancer loadBalancer = (event, actions) -> {
             if (event instanceof RequestArrived a && !a.requestId().equals("r2")) {
                 actions.accept(new StartAttempt(a.requestId(), "s0", 0));
             } else if (event instanceof AttemptEnded e && e.outcome() == AttemptOutcome.ERROR) {
-                block(release);
+                awaitRelease(release);
                 actions.accept(new StartAttempt(id, "s0", 0));
             }
         };
         try (var backend = new ScriptedServer();
-                var proxy = new ProxyFixture(module, ProxyFixture.LONG_TIMEOUTS, backend);
+                var proxy = new ProxyFixture(loadBalancer, ProxyFixture.LONG_TIMEOUTS, backend);
                 var first = proxy.connectClient().send(ProxyFixture.getWithLongTimeout("r1"));
                 var queued = proxy.connectClient()) {
             RawConnection attempt = backend.accept();
             attempt.read();
             queued.send(ProxyFixture.getWithLongTimeout("r2"));
             while (!proxy.awaitEvent(RequestArrived.class).requestId().equals("r2")) {
-                // skip the request before
+                // Skips the request before.
             }
             try {
                 attempt.send(ScriptedServer.response("500 Internal Server Error", "x"));
@@ -96,30 +102,30 @@
     }
 
     /**
-     * The connection for an attempt comes up, then the client disconnects, and the blocked event loop has seen neither.
-     * The request must not be written.
+     * While the event loop is blocked, the connection for an attempt is established, and then the client disconnects.
+     * The request must not be written to the new connection.
      */
     @ParameterizedTest
     @ValueSource(strings = {"close", "reset", "end"})
     @Timeout(30)
     void nothingIsWrittenToANewConnectionWhileACloseIsUnread(String kind) throws Exception {
         var release = new CountDownLatch(1);
-        ProxyFixture.StubLoadBalancer module = (event, actions) -> {
+        ProxyFixture.StubLoadBalancer loadBalancer = (event, actions) -> {
             if (event instanceof RequestArrived a && a.requestId().equals("hold")) {
-                block(release);
+                awaitRelease(release);
             } else {
                 ProxyFixture.singleAttemptTo("s0").handle(event, actions);
             }
         };
         try (var backend = new FullBacklog();
-                var proxy = new ProxyFixture(module, ClientDisconnectTest.withEndpoint(backend));
+                var proxy = new ProxyFixture(loadBalancer, ClientDisconnectTest.withEndpoint(backend));
                 var client = proxy.connectClient().send(ProxyFixture.getWithLongTimeout("r1"));
-                var holding = proxy.connectClient()) {
+                var blockingClient = proxy.connectClient()) {
             proxy.awaitEvent(RequestArrived.class);
             proxy.awaitInputHandled();
             RawConnection attempt;
             try {
-                holding.send(ProxyFixture.getWithLongTimeout("hold"));
+                blockingClient.send(ProxyFixture.getWithLongTimeout("hold"));
                 proxy.awaitEvent(RequestArrived.class);
                 attempt = backend.acceptWaitingClient();
                 disconnectUnread(client, kind);
@@ -134,13 +140,13 @@
     }
 
     /**
-     * Clients send a request and disconnect while the event loop is blocked. Their connections are read to the end
-     * before anything is dispatched, so that no attempt is made for them.
+     * Clients send a request and disconnect while the event loop is blocked. Their connections must be read to the end
+     * before a request is dispatched, so that no request of theirs is.
      */
     @Test
     void requestWhoseClientHasDisconnectedIsNotDispatched() throws Exception {
         var release = new CountDownLatch(1);
-        ProxyFixture.StubLoadBalancer module = (event, actions) -> {
+        ProxyFixture.StubLoadBalancer loadBalancer = (event, actions) -> {
             if (event instanceof RequestArrived a && a.requestId().equals("first")) {
                 ScriptedServer.await(release);
             }
@@ -148,7 +154,7 @@
                 actions.accept(new Reject(a.requestId(), 0));
             }
         };
-        try (var proxy = new ProxyFixture(module);
+        try (var proxy = new ProxyFixture(loadBalancer);
                 var first = proxy.connectClient()) {
             first.send(ProxyFixture.get("first"));
             proxy.awaitEvent(RequestArrived.class);
@@ -167,13 +173,13 @@
     }
 
     /**
-     * A client sends a flood of bytes behind its request and disconnects. If they stayed unread, they would hide its
-     * close.
+     * A client sends a large number of bytes after its request and disconnects. If the proxy did not read these bytes,
+     * it would not detect the close that follows them.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void disconnectBehindUnservedBytesIsNoticed(boolean reset) throws Exception {
-        try (var proxy = new ProxyFixture(SILENT);
+    void disconnectAfterUnservedBytesIsDetected(boolean reset) throws Exception {
+        try (var proxy = new ProxyFixture(NO_ACTIONS);
                 var client = proxy.connectClient()) {
             client.send(ProxyFixture.getWithLongTimeout("r1") + "RUBBISH\r\n\r\n");
             proxy.awaitEvent(RequestArrived.class);
@@ -183,7 +189,7 @@
                     client.send(chunk);
                 }
             } catch (IOException e) {
-                // The proxy may close the connection before all of it is written.
+                // The proxy may close the connection before everything has been written.
             }
             ClientDisconnectTest.disconnect(client, reset);
             assertThat(proxy.awaitEvent(ClientDisconnected.class).requestId()).isEqualTo("r1");
--- a/src/test/java/gaugegw/proxy/lifecycle/DrainScheduleTest.java
+++ b/src/test/java/gaugegw/proxy/lifecycle/DrainScheduleTest.java
@@ -8,31 +8,31 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The times of a graceful shutdown. */
+/** The times of the steps of a graceful shutdown. */
 class DrainScheduleTest {
-    /** SIGKILL comes no sooner than this after the longest deadline. */
+    /** Minimum time from the longest deadline to SIGKILL, in milliseconds. */
     private static final long KILL_DELAY_MS = 700;
 
-    /** What counts at most of the longest deadline. */
+    /** Upper bound on the longest deadline, in milliseconds. */
     private static final long MAX_DEADLINE_MS = 3_000;
 
     @Test
-    void givesEachStepItsTimeByTheLongestDeadline() throws Exception {
+    void schedulesStepsByTheLongestDeadline() throws Exception {
         assertThat(schedule(2_000)).isEqualTo(new DrainSchedule(500, 1_500, 2_000, 2_550, 2_600));
     }
 
     /**
-     * The longest deadline is short, usual, or longer than what counts of it. Requests have until that deadline, and the
-     * process ends by itself before SIGKILL ends it with requests in flight.
+     * The longest deadline is short, usual, or above the upper bound. Requests must have until the deadline or the
+     * bound to be answered, and the process must exit before SIGKILL ends it with requests in flight.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 200, 2_000, 3_000, 60_000})
-    void endsAfterTheDeadlineAndBeforeSigkill(long deadlineMs) throws Exception {
+    void exitsAfterTheDeadlineAndBeforeSigkill(long deadlineMs) throws Exception {
         DrainSchedule schedule = schedule(deadlineMs);
-        long countedMs = Math.min(deadlineMs, MAX_DEADLINE_MS);
+        long boundedDeadlineMs = Math.min(deadlineMs, MAX_DEADLINE_MS);
         assertThat(schedule.closeAfterResponsesMs()).isBetween(0L, schedule.closeIdleMs());
-        assertThat(schedule.failRemainingMs()).isBetween(countedMs, schedule.exitMs() - 1);
-        assertThat(schedule.exitMs()).isLessThan(countedMs + KILL_DELAY_MS);
+        assertThat(schedule.failRemainingMs()).isBetween(boundedDeadlineMs, schedule.exitMs() - 1);
+        assertThat(schedule.exitMs()).isLessThan(boundedDeadlineMs + KILL_DELAY_MS);
     }
 
     private static DrainSchedule schedule(long deadlineMs) throws Exception {
--- a/src/test/java/gaugegw/proxy/lifecycle/ProxyServerTest.java
+++ b/src/test/java/gaugegw/proxy/lifecycle/ProxyServerTest.java
@@ -22,21 +22,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A graceful shutdown, and the limit on file descriptors. */
+/** The graceful shutdown of a proxy, and how it keeps within its limit on file descriptors. */
 class ProxyServerTest {
-    /** A readiness check; a proxy that is not ready keeps the connection open after its response. */
+    /** A readiness check. The connection stays open after the response, even if the proxy is not ready. */
     private static final String READY = "GET /ready HTTP/1.1\r\n\r\n";
 
     private static final String LONGEST_BODY = "x".repeat(HttpLimits.MAX_BODY_BYTES);
-    /** So many responses with such a body are more than the kernel buffers for both sides. */
-    private static final int EXCEEDING_KERNEL_BUFFERS = 150;
+    /** Number of responses with {@link #LONGEST_BODY} that exceed the kernel buffers of both sides. */
+    private static final int RESPONSES_EXCEEDING_KERNEL_BUFFERS = 150;
 
     /**
-     * With the load balancer that is in service, and one of two backends unreachable. The proxy retries on the other one,
+     * With the production load balancer and one of two backends unreachable, the proxy retries on the other backend,
      * watches the endpoint list, and rejects requests once the list is empty.
      */
     @Test
-    void servesWithTheLoadBalancerInService() throws Exception {
+    void servesWithTheProductionLoadBalancer() throws Exception {
         var unreachable = new ScriptedServer();
         unreachable.close();
         try (var backend = new ScriptedServer();
@@ -59,8 +59,8 @@
     }
 
     /**
-     * The drain begins while the proxy waits for discovery's agent. It accepts no client then, and does not take that for
-     * a fault of its configuration.
+     * The drain begins before the proxy has started to listen. The proxy must accept no client, and must not report an
+     * invalid configuration.
      */
     @Test
     void doesNotListenOnceTheDrainHasBegun() throws Exception {
@@ -75,12 +75,12 @@
     }
 
     /**
-     * A drain begins with one request in flight, one connection idle and one in use, while new connections still arrive.
-     * The request in flight and those on new connections are answered; the connections stay open for most of the drain,
-     * and are closed with a response or while idle before its end.
+     * A drain begins with one request in flight, one connection idle and one in use, while new connections still
+     * arrive. The request in flight and the requests on new connections must be answered. The connections must stay
+     * open for most of the drain, and be closed before its end, with a response or while idle.
      */
     @Test
-    void answersAllRequestsInFlightBeforeItEnds() throws Exception {
+    void answersAllRequestsInFlightDuringADrain() throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
                 var busy = proxy.connectClient();
@@ -99,7 +99,7 @@
                 attempt.send(ScriptedServer.ok("late"));
                 assertThat(late.read().body()).isEqualTo("late");
             }
-            // Clients keep their connections when no new ones are accepted: other proxies may have just started.
+            // Connections stay open after the proxy stops accepting new ones: other proxies may have just started.
             while (accepts(proxy)) {
                 assertThat(used.send(READY).read().header("Connection")).isNull();
             }
@@ -119,7 +119,10 @@
         }
     }
 
-    /** A request is still in flight as the drain's time is up. It is failed: none ends with the process and no response. */
+    /**
+     * A request is still in flight when the time for the drain is up. It must be answered with a failure, or the
+     * process would end without a response to it.
+     */
     @Test
     void failsRequestsInFlightAtTheEndOfTheDrain() throws Exception {
         try (var backend = new ScriptedServer();
@@ -134,8 +137,8 @@
     }
 
     /**
-     * A client has sent a second request behind one in flight. It begins only when the drain's end has failed the first,
-     * and has to be answered as well.
+     * A client has sent a second request after one in flight. The second request only begins when the first one has
+     * failed at the end of the drain. It must get a response too.
      */
     @Test
     void rejectsARequestThatBeginsAtTheEndOfTheDrain() throws Exception {
@@ -153,12 +156,13 @@
     }
 
     /**
-     * A client is slow to read its responses as a drain begins, or as connections run short. Its connection counts as
-     * idle only once they are written: neither a drain nor an eviction cuts a response short.
+     * A client is slow to read its responses when a drain begins, or when the proxy runs short of connections. Its
+     * connection only becomes idle once the responses are written, so neither the drain nor an eviction may truncate
+     * them.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void completesTheResponsesThatClientsAreSlowToRead(boolean connectionsRunShort) throws Exception {
+    void completesResponsesThatClientsAreSlowToRead(boolean shortOfConnections) throws Exception {
         var clients = new ArrayList<RawConnection>();
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(
@@ -173,10 +177,10 @@
                         backend);
                 var slow = proxy.connectClient()) {
             backend.respondToAll(ScriptedServer.ok(LONGEST_BODY));
-            leaveUnread(proxy, slow, EXCEEDING_KERNEL_BUFFERS);
+            leaveUnread(proxy, slow, RESPONSES_EXCEEDING_KERNEL_BUFFERS);
             CompletableFuture<Void> drained = CompletableFuture.completedFuture(null);
-            if (connectionsRunShort) {
-                // All of them have a request in flight: the one that has none would be evicted.
+            if (shortOfConnections) {
+                // These clients all have a request in flight, so only the slow client could be evicted for them.
                 for (int i = 0; i < DescriptorBudget.of(128).maxClients(); i++) {
                     RawConnection client = proxy.connectClient();
                     clients.add(client);
@@ -190,7 +194,7 @@
                 drained = CompletableFuture.runAsync(proxy::drain);
                 assertThat(idle.awaitClose()).isTrue();
             }
-            readAll(slow, EXCEEDING_KERNEL_BUFFERS);
+            readAll(slow, RESPONSES_EXCEEDING_KERNEL_BUFFERS);
             drained.get(10, TimeUnit.SECONDS);
         } finally {
             for (RawConnection client : clients) {
@@ -200,30 +204,30 @@
     }
 
     /**
-     * A request arrives while its connection's last response is still being written. Forwarded, it would be lost with the
-     * connection; so it does not begin.
+     * A request arrives while the last response of its connection is still being written. It must not begin: its
+     * response could not be sent, as the connection is about to be closed.
      */
     @Test
     @Timeout(30)
-    void noRequestBeginsBehindALastResponse() throws Exception {
+    void noRequestBeginsAfterTheLastResponse() throws Exception {
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
                 var slow = proxy.connectClient()) {
             backend.respondToAll(ScriptedServer.ok(LONGEST_BODY));
-            leaveUnread(proxy, slow, EXCEEDING_KERNEL_BUFFERS - 1);
+            leaveUnread(proxy, slow, RESPONSES_EXCEEDING_KERNEL_BUFFERS - 1);
             slow.send(ProxyFixture.get("last").replace("Host:", "Connection: close\r\nHost:"));
             proxy.awaitEvent(AttemptEnded.class);
             slow.send(ProxyFixture.get("behind"));
             proxy.awaitInputHandled();
             assertThat(proxy.events).noneMatch(RequestArrived.class::isInstance);
-            readAll(slow, EXCEEDING_KERNEL_BUFFERS);
+            readAll(slow, RESPONSES_EXCEEDING_KERNEL_BUFFERS);
             assertThat(slow.awaitClose()).isTrue();
         }
     }
 
     /**
-     * As above, where a drain closes a connection without a request in flight: the close waits until its responses are
-     * written, and no request begins meanwhile.
+     * As above, but a drain closes the connection, which has no request in flight. The close must wait until the
+     * responses are written, and no request may begin meanwhile.
      */
     @Test
     @Timeout(30)
@@ -233,12 +237,12 @@
                 var slow = proxy.connectClient();
                 var idle = proxy.connectClient()) {
             backend.respondToAll(ScriptedServer.ok(LONGEST_BODY));
-            leaveUnread(proxy, slow, EXCEEDING_KERNEL_BUFFERS);
+            leaveUnread(proxy, slow, RESPONSES_EXCEEDING_KERNEL_BUFFERS);
             idle.send(READY).read();
             CompletableFuture<Void> drained = CompletableFuture.runAsync(proxy::drain);
             assertThat(idle.awaitClose()).isTrue();
             slow.send(ProxyFixture.get("behind"));
-            readAll(slow, EXCEEDING_KERNEL_BUFFERS);
+            readAll(slow, RESPONSES_EXCEEDING_KERNEL_BUFFERS);
             assertThat(slow.awaitClose()).isTrue();
             drained.get(10, TimeUnit.SECONDS);
             assertThat(proxy.events).noneMatch(RequestArrived.class::isInstance);
@@ -246,13 +250,14 @@
     }
 
     /**
-     * A client goes on sending while it has yet to read its last response. A close with bytes unread would reset the
-     * connection, and the client would lose that response; so this side ends its sending and lingers.
+     * A client keeps sending before it has read its last response. If the proxy closed the connection with these bytes
+     * unread, the connection would be reset and the client would lose the response. So the proxy shuts down its output
+     * and lingers.
      */
     @Test
     @Timeout(30)
-    void aLastResponseSurvivesFurtherBytesFromTheClient() throws Exception {
-        // More than the kernel buffers for the client's side, less than for both sides.
+    void lastResponseIsNotLostWhenTheClientKeepsSending() throws Exception {
+        // More responses than the kernel buffers for the client hold, but fewer than the buffers of both sides hold.
         int responses = 8;
         var proceed = new CountDownLatch(1);
         try (var backend = new ScriptedServer();
@@ -279,12 +284,12 @@
             assertThat(slow.read().status()).isEqualTo(503);
             assertThat(slow.awaitClose()).isTrue();
             assertThat(proxy.events).noneMatch(RequestArrived.class::isInstance);
-            // The connection lingers, but no drain waits for it.
+            // The connection lingers, but a drain does not wait for it.
             ScriptedServer.await(() -> proxy.connectedClients() == 0);
         }
     }
 
-    /** Sends requests one after the other, and leaves their responses unread. */
+    /** Sends requests one after the other, without reading the responses. */
     private static void leaveUnread(ProxyFixture proxy, RawConnection client, int responses) throws Exception {
         for (int i = 0; i < responses; i++) {
             client.send(ProxyFixture.get("r" + i));
@@ -309,8 +314,8 @@
     }
 
     /**
-     * Hundreds of clients connect and send nothing, and one more is idle after a response. Both kinds are evicted for a
-     * client that sends a request.
+     * Hundreds of clients connect and send nothing, and one more is idle after a response. Connections of both kinds
+     * must be evicted in favor of a client that sends a request.
      */
     @Test
     void evictsConnectionsWithoutARequest() throws Exception {
@@ -336,11 +341,11 @@
     }
 
     /**
-     * Connections run short while most have a request in flight. Responses close their connections then: unlike an
-     * eviction, that never crosses a client's next request.
+     * The proxy runs short of connections while most of them have a request in flight. It must close connections with
+     * their responses: unlike an eviction, such a close can't happen while the client's next request is on its way.
      */
     @Test
-    void responsesCloseTheirConnectionsAsTheseRunShort() throws Exception {
+    void closesConnectionsWithTheirResponsesWhenShortOfConnections() throws Exception {
         var clients = new ArrayList<RawConnection>();
         try (var proxy = new ProxyFixture((event, actions) -> {}, 128, 15_000_000)) {
             for (int i = 0; i < 40; i++) {
@@ -358,8 +363,8 @@
     }
 
     /**
-     * All connections that the proxy may hold have a request in flight. The next client waits in the backlog, and is
-     * accepted and served once others are closed.
+     * The proxy has as many connections as it may have, all with a request in flight. The next client must wait in the
+     * backlog, and be accepted and served once other connections are closed.
      */
     @Test
     void acceptsAgainOnceConnectionsAreClosed() throws Exception {
@@ -381,7 +386,7 @@
             }
             RawConnection last = proxy.connectClient().send(ProxyFixture.get("last"));
             clients.add(last);
-            // The others are failed by the proxy at their deadline, and their connections closed.
+            // The proxy fails the other requests at their deadlines and closes their connections.
             assertThat(last.read()).isNotNull();
             for (RawConnection client : List.copyOf(clients).subList(0, 20)) {
                 assertThat(client.read().status()).isEqualTo(502);
--- a/src/test/java/gaugegw/proxy/lifecycle/ServeCommandTest.java
+++ b/src/test/java/gaugegw/proxy/lifecycle/ServeCommandTest.java
@@ -5,12 +5,12 @@
 import gaugegw.proxy.discovery.EndpointWatcher;
 import org.junit.jupiter.api.Test;
 
-/** The times of a start. */
+/** The time limits of a start. */
 class ServeCommandTest {
     /**
-     * A proxy restarts whose endpoint list has never changed. It looks like one that starts for the first time,
-     * and is warmed up like that one. It has to be ready in time all the same: runtime, warm-up and the first call to
-     * discovery together take no longer than a restart may.
+     * A proxy restarts with an endpoint list that has never changed. It can't tell this from its first start, so it
+     * runs the warm-up. It must still be ready in time: the start of the runtime, the warm-up and the first call to
+     * discovery together may not take longer than a restart may.
      */
     @Test
     void warmUpLeavesTimeForTheOtherStepsOfAStart() {
--- a/src/test/java/gaugegw/proxy/lifecycle/SignalHandlersTest.java
+++ b/src/test/java/gaugegw/proxy/lifecycle/SignalHandlersTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The signals of the program as it runs in service, both received and inherited as ignored. */
+/**
+ * The signals that the program handles, both when it receives them and when they were already ignored at its start.
+ * Each test runs the program in a process of its own.
+ */
 class SignalHandlersTest {
     private static final String FIRST_CALL = "GET /v1/endpoints HTTP/1.1";
 
@@ -24,20 +27,20 @@
     private Path file;
 
     @BeforeEach
-    void nameConfigFile() {
+    void setConfigFile() {
         file = folder.resolve("config.json");
     }
 
     /**
-     * SIGTERM arrives while the proxy waits for the first answer of discovery's agent, before it listens. It ends as it
-     * does in service, with status 0.
+     * SIGTERM arrives before the proxy listens, while it waits for the first response of its local discovery agent. The
+     * process must exit as it does when it serves clients, with status 0.
      */
     @Test
-    void endsOrderlyOnSigtermBeforeItListens() throws Exception {
+    void exitsCleanlyOnSigtermBeforeItListens() throws Exception {
         try (var agent = new ScriptedServer()) {
             Files.writeString(file, ProxyFixture.configText(agent.address()).replace("on_request", "pushed"));
             try (var process = ProxyProcess.start(file, "")) {
-                // No client is accepted before this call is answered, and it never is.
+                // The proxy accepts no client before it has a response to this call, which is never answered.
                 agent.accept().read();
                 process.signal("TERM");
                 assertThat(process.awaitExit()).isZero();
@@ -46,11 +49,12 @@
     }
 
     /**
-     * The file is replaced twice, then SIGHUP arrives. Without a handler the signal would end the process. The proxy is
-     * to go on with the second file, and to have ignored the first, as no signal came for it.
+     * The configuration file is replaced twice, then SIGHUP arrives. Without a handler the signal would end the
+     * process. The proxy must apply the second replacement, and must not have applied the first, as no signal followed
+     * it.
      */
     @Test
-    void reloadsItsFileOnSighupOnly() throws Exception {
+    void reloadsConfigurationFileOnSighupOnly() throws Exception {
         try (var first = new ScriptedServer();
                 var neverCalled = new ScriptedServer();
                 var second = new ScriptedServer()) {
@@ -61,7 +65,7 @@
                 replace(ProxyFixture.configText(second.address()));
                 process.signal("HUP");
                 assertThat(second.accept().read().firstLine()).isEqualTo(FIRST_CALL);
-                // It is the first connection of all: the proxy has not called there.
+                // The test's own connection is the first that this server accepts, so the proxy has not called it.
                 try (var own = RawConnection.connectTo(
                         SocketAddresses.parse(neverCalled.address()).orElseThrow())) {
                     own.send("own\r\n\r\n");
@@ -76,11 +80,12 @@
     }
 
     /**
-     * A supervisor starts the process with SIGHUP ignored, so that no handler runs. The file is replaced, then half
-     * written, then complete. The proxy polls it: it reloads each valid state, and keeps its configuration in between.
+     * A supervisor starts the process with SIGHUP ignored, so that no handler can run. The configuration file is
+     * replaced, then truncated to its first half, then complete. The proxy must poll the file, apply each valid
+     * configuration, and keep the current one while the file is invalid.
      */
     @Test
-    void pollsItsFileWhereSighupIsIgnored() throws Exception {
+    void pollsConfigurationFileIfSighupIsIgnored() throws Exception {
         try (var first = new ScriptedServer();
                 var second = new ScriptedServer();
                 var third = new ScriptedServer()) {
@@ -100,7 +105,10 @@
         }
     }
 
-    /** A supervisor starts the process with SIGTERM ignored. No Java code can receive it then; the log has to say so. */
+    /**
+     * A supervisor starts the process with SIGTERM ignored. Java code can't receive the signal then, which must be
+     * logged.
+     */
     @Test
     void logsThatSigtermIsIgnored() throws Exception {
         try (var discovery = new ScriptedServer()) {
@@ -111,7 +119,7 @@
         }
     }
 
-    /** Replaces the file at once, as the platform does. */
+    /** Replaces the file atomically, as the platform does. */
     private void replace(String config) throws Exception {
         Path next = Files.writeString(folder.resolve("next.json"), config);
         Files.move(next, file, StandardCopyOption.ATOMIC_MOVE);
--- a/src/test/java/gaugegw/proxy/lifecycle/WarmupTest.java
+++ b/src/test/java/gaugegw/proxy/lifecycle/WarmupTest.java
@@ -14,23 +14,24 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** The warm-up runs the code that serves a request, or it would compile nothing of use. */
+/** The warm-up must run the code that serves requests, or it would compile code that is not used. */
 class WarmupTest {
     @Test
-    void servesItsRequests() throws Exception {
-        // Not all of them: on a slow machine some miss their deadline.
+    void servesSyntheticRequests() throws Exception {
+        // Fewer than all requests are expected to succeed, as on a slow machine some miss their deadline.
         assertThat(Warmup.run(ProxyConfig.parse(ProxyFixture.configTree()), 60_000))
                 .isGreaterThan(1_000);
     }
 
     /**
-     * The event loop has work without end, on a share of a core. A thread that never waits looks like one that hangs. So
-     * the warm-up pauses between its rounds, and the loop waits as it does in service.
+     * During the warm-up the event loop always has work, on a fraction of a CPU core. A thread that never waits looks
+     * like one that hangs. So the warm-up must pause between its rounds, and the event loop then waits as it does in
+     * production.
      */
     @Test
     void letsTheEventLoopWaitBetweenRounds() throws Exception {
-        ThreadMXBean threads = ManagementFactory.getThreadMXBean();
-        Set<Long> before = LongStream.of(threads.getAllThreadIds()).boxed().collect(Collectors.toSet());
+        ThreadMXBean threadBean = ManagementFactory.getThreadMXBean();
+        Set<Long> before = LongStream.of(threadBean.getAllThreadIds()).boxed().collect(Collectors.toSet());
         var run = CompletableFuture.supplyAsync(() -> {
             try {
                 return Warmup.run(ProxyConfig.parse(ProxyFixture.configTree()), 60_000);
@@ -38,19 +39,19 @@
                 throw new CompletionException(e);
             }
         });
-        long waits = 0;
+        long maxWaitCount = 0;
         while (!run.isDone()) {
-            for (ThreadInfo thread : threads.getThreadInfo(threads.getAllThreadIds())) {
+            for (ThreadInfo thread : threadBean.getThreadInfo(threadBean.getAllThreadIds())) {
                 if (thread != null
                         && thread.getThreadName().startsWith("multiThreadIoEventLoop")
                         && !before.contains(thread.getThreadId())) {
-                    waits = Math.max(waits, thread.getWaitedCount());
+                    maxWaitCount = Math.max(maxWaitCount, thread.getWaitedCount());
                 }
             }
             Thread.sleep(1);
         }
         assertThat(run.get()).isGreaterThan(1_000);
-        assertThat(waits).isGreaterThan(20);
+        assertThat(maxWaitCount).isGreaterThan(20);
     }
 
     @Test
