--- a/src/main/java/gaugegw/proxy/client/ClientConnection.java
+++ b/src/main/java/gaugegw/proxy/client/ClientConnection.java
@@ -33,8 +33,8 @@
      */
     private static final long REQUEST_TIMEOUT_US = 2_200_000;
     /**
-     * Time after the end of an exchange, in microseconds, after which the connection is closed if the client has not
-     * read enough for its responses to be written to the socket: such a client is assumed to be gone.
+     * Time from the end of an exchange, in microseconds, within which the client must read enough for its responses to
+     * be written to the socket. Otherwise it is assumed to be gone, and the connection is closed.
      */
     private static final long WRITE_TIMEOUT_US = 10_000_000;
     /** Maximum time for which a connection is still read after its last response was written, in microseconds. */
@@ -201,7 +201,7 @@
     }
 
     /**
-     * Rejects each request in the overflow with a response of its own, in order. The connection is closed after the
+     * Rejects each request in the overflow with status 429, in order. The connection is closed after the
      * final error or, where there is none, after the last of these responses.
      */
     private void rejectOverflow() {
@@ -267,7 +267,7 @@
 
     /**
      * Handles the end of the client's output. The client has probably gone, so no more work is done for it. But it may
-     * have shut down its output alone and still read, so each request that it has sent completely gets a response.
+     * have shut down its output only and still read, so each request that it has sent completely gets a response.
      */
     private void clientOutputEnded() {
         closing.setClientOutputEnded();
@@ -297,6 +297,7 @@
 
     // Time limits
 
+    /** Closes the connection if there is no exchange and no part of a request has been received. */
     void closeIfIdle() {
         if (exchange == null && !arrival.isIncomplete() && !closing.isClosing()) {
             closing.closeAfterPendingWrites();
--- a/src/main/java/gaugegw/proxy/client/PipelinedRequests.java
+++ b/src/main/java/gaugegw/proxy/client/PipelinedRequests.java
@@ -4,9 +4,9 @@
 import java.util.Queue;
 
 /**
- * The complete requests that a client has sent before it got the responses to its earlier ones. A few of them wait to
- * be served. The others, the overflow, are released and only counted, so that a client that never reads its responses
- * can't use up the memory. Used on the event loop only.
+ * The complete requests that a client has sent before receiving the responses to its earlier ones. A few of them wait
+ * to be served. The others, the overflow, are released and only counted, so that a client that never reads its
+ * responses can't use up the memory. Used on the event loop only.
  */
 final class PipelinedRequests {
     /**
--- a/src/main/java/gaugegw/proxy/client/RequestArrival.java
+++ b/src/main/java/gaugegw/proxy/client/RequestArrival.java
@@ -2,8 +2,8 @@
 
 /**
  * Records when the requests of one connection began to arrive, on the proxy's clock in microseconds. A client's timeout
- * starts when it sends its request; the time when the first byte is received is the closest to that which the proxy can
- * know. Used on the event loop only.
+ * starts when it sends its request. The proxy can't know that time, so it uses the time when the first byte was
+ * received. Used on the event loop only.
  */
 final class RequestArrival {
     private static final long NONE = -1;
--- a/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
@@ -34,7 +34,7 @@
     private final Frontend frontend;
     private final GracefulShutdown shutdown;
 
-    /** Creates a proxy that uses sockets and the load balancer of production. */
+    /** Creates a proxy that uses sockets and the production load balancer. */
     ProxyServer(ProxyConfig config) {
         this(config, new EarliestDeadlineLoadBalancer(config.settings()));
     }
@@ -45,7 +45,7 @@
     }
 
     /**
-     * Creates a proxy. It does not open any connection yet.
+     * Creates a proxy, which does not open a connection yet.
      *
      * @param transport creates the connections; its event loop must not be shared with another proxy
      */
--- a/src/main/java/gaugegw/proxy/lifecycle/SignalHandlers.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/SignalHandlers.java
@@ -22,8 +22,9 @@
     private SignalHandlers() {}
 
     /**
-     * Installs a handler that runs an action at each signal with a name, in place of the runtime's own handler. The
-     * runtime creates a new thread for each signal: the action may block, and two threads may run it at the same time.
+     * Installs a handler that runs an action at each signal of the given name, in place of the runtime's own handler.
+     * The runtime creates a new thread for each signal: the action may block, and two threads may run it at the same
+     * time.
      *
      * @param name the name of the signal without the prefix {@code SIG}
      * @return false if the signal was ignored when the process started, in which case the action never runs
