--- a/src/main/java/gaugegw/balancer/ControlParameters.java
+++ b/src/main/java/gaugegw/balancer/ControlParameters.java
@@ -6,15 +6,16 @@
 /**
  * The time scales of the load balancer, derived from the latency objectives, and the window sizes of its statistics.
  *
- * @param latencyBudgetUs time in which the attempts in flight at the concurrency limit are to be completed, in
- *     microseconds
- * @param refreshPeriodUs time between two refreshes of the weights, in microseconds; also the time constant of other
- *     averages and the first backoff after a failure
+ * @param latencyBudgetUs time in which all attempts in flight should end, in microseconds: the concurrency limit is the
+ *     number of responses expected in this time
+ * @param refreshPeriodUs time between two refreshes of the weights, in microseconds; also the time constant of the
+ *     response rate, the first backoff after a failure, and the time over which unused concurrency limit and unused
+ *     tenant quota accumulate
  */
 record ControlParameters(long latencyBudgetUs, long refreshPeriodUs) {
     /**
-     * The latency budget as a fraction of the shortest latency objective. The admission queue holds as many requests as
-     * the concurrency limit admits, so waiting there takes about as long again.
+     * The latency budget as a fraction of the shortest latency objective. The admission queue holds up to as many
+     * requests as the concurrency limit permits attempts, so a request may wait there for another latency budget.
      */
     private static final double LATENCY_BUDGET_FRACTION = 1 / 5.0;
     /** The refresh period as a multiple of the longest latency objective. */
@@ -24,13 +25,13 @@
     static final int LATENCY_WINDOW_SAMPLES = 1024;
     /** Minimum number of samples for a reliable mean latency. */
     static final int MIN_RELIABLE_SAMPLES = LATENCY_WINDOW_SAMPLES / 32;
-    /** Weight of a kind's average latency in the expected latency of an endpoint, in samples of the endpoint. */
+    /** Weight of a kind's average in the expected latency of an endpoint; each sample of the endpoint has weight 1. */
     static final double KIND_PRIOR_SAMPLES = 4;
-    /** Factor by which older values decay per refresh period: an endpoint's own samples, and the throughput average. */
+    /** Factor by which an endpoint's own samples decay at each refresh, and the throughput average at each sample. */
     static final double REFRESH_DECAY_FACTOR = 0.8;
     /** Window of the error and timeout rates, in attempts. */
     static final double OUTCOME_WINDOW_ATTEMPTS = 256;
-    /** Window of the rejection rate, in completed requests. */
+    /** Window of the rejection rate, in final answers. */
     static final double REJECTION_WINDOW_REQUESTS = 16;
 
     /** Derives the parameters from the latency objectives of the request classes. */
--- a/src/main/java/gaugegw/balancer/EarliestDeadlineSelector.java
+++ b/src/main/java/gaugegw/balancer/EarliestDeadlineSelector.java
@@ -1,18 +1,22 @@
 package gaugegw.balancer;
 
 /**
- * Selects the endpoint for an attempt. Among the eligible endpoints, the best {@link PreferenceTier} wins, then the
- * earliest deadline, then the position in this proxy's endpoint order. An endpoint is eligible if:
+ * Selects the endpoint for an attempt. Eligible endpoints are compared by {@link PreferenceTier}, then by deadline
+ * (earliest first), then by position in this proxy's {@link ProxyEndpointOrder}. A ready endpoint is eligible if:
  *
  * <ul>
  *   <li>{@link DuplicateExecutionGuard} permits the attempt there,
- *   <li>it is in this proxy's {@link EndpointSubset},
+ *   <li>it is in this proxy's {@link EndpointSubset}, or is unhealthy or in slow start,
  *   <li>it has fewer attempts in flight than its fair share, and
  *   <li>its {@link SlowStartBudget} permits another attempt.
  * </ul>
  *
- * <p>The deadline of an endpoint is (virtual time + 1) / weight, as in weighted fair queueing. It is unrelated to the
- * deadline of a request.
+ * <p>If the best eligible endpoint is unhealthy, it is used only if most endpoints are unhealthy, see {@link
+ * #PANIC_THRESHOLD}. Otherwise no endpoint is selected and the request waits.
+ *
+ * <p>The deadline of an endpoint is (virtual time + 1) / weight, as in weighted fair queueing. The virtual time is the
+ * number of attempts started there since the last refresh of the weights. This deadline has no unit and is unrelated to
+ * the deadline of a request.
  */
 final class EarliestDeadlineSelector {
     /** Multiplies the weight of an endpoint in the proxy's own zone. */
@@ -20,8 +24,9 @@
     /** Multiplies the weight of the endpoint that probably has the request's key in its cache. */
     private static final double CACHE_AFFINITY_WEIGHT_FACTOR = 4;
     /**
-     * Share of the permitted endpoints above which their health is ignored. If so many are unhealthy, the likely cause
-     * is this proxy's own network or a general overload, not the endpoints.
+     * Fraction of unhealthy endpoints, among those that {@link DuplicateExecutionGuard} permits, above which unhealthy
+     * endpoints may receive attempts. Above it, the likely cause is this proxy's own network or a general
+     * overload, not the endpoints.
      */
     private static final double PANIC_THRESHOLD = 0.75;
 
@@ -64,12 +69,13 @@
             unhealthyCount += healthy ? 0 : 1;
             failingCount += condition == EndpointHealth.Condition.FAILING ? 1 : 0;
             boolean warmingUp = slowStart.isWarmingUp(endpoint, nowUs);
-            // An endpoint in slow start is open to every proxy: the few proxies that have it in their subset could not
-            // use up its budget, because each of them may use only its own part.
-            boolean inSubset = !healthy || remainingSubsetSize > 0 || warmingUp;
+            // Every proxy may use an endpoint in slow start. Each proxy is limited to its share of the slow start
+            // budget, so if only the proxies with the endpoint in their subset used it, most of the budget would be
+            // unused.
+            boolean permittedBySubset = !healthy || remainingSubsetSize > 0 || warmingUp;
             PreferenceTier tier = PreferenceTier.of(condition, request.hasTried(endpoint));
             double deadline = deadline(endpoint, request);
-            if (inSubset
+            if (permittedBySubset
                     && isPreferred(tier, deadline, bestTier, bestDeadline)
                     && isBelowFairShare(endpoint)
                     && slowStart.permitsAttempt(endpoint, nowUs)) {
@@ -83,7 +89,7 @@
         return isAcceptable(bestCondition, permittedCount, unhealthyCount, failingCount) ? best : null;
     }
 
-    /** Returns whether an endpoint is preferred to the best one so far: by tier, then by deadline. */
+    /** Returns whether an endpoint is preferred to the best one found so far: by tier, then by deadline. */
     private static boolean isPreferred(
             PreferenceTier tier, double deadline, PreferenceTier bestTier, double bestDeadline) {
         if (tier == bestTier) {
@@ -93,7 +99,7 @@
         return tier.isPreferredTo(bestTier) && Double.isFinite(deadline);
     }
 
-    /** Returns the virtual deadline (virtual time + 1) / weight, with the weight raised by zone and cache affinity. */
+    /** Returns (virtual time + 1) / weight, with the weight multiplied by the factors for zone and cache affinity. */
     private static double deadline(EndpointRecord endpoint, PendingRequest request) {
         double zoneFactor = endpoint.isInProxyZone() ? SAME_ZONE_WEIGHT_FACTOR : 1;
         double cacheFactor = endpoint == request.affinityEndpoint() ? CACHE_AFFINITY_WEIGHT_FACTOR : 1;
@@ -101,8 +107,10 @@
     }
 
     /**
-     * Returns whether an endpoint has fewer attempts in flight than its weight's share of all. Virtual time only counts
-     * started attempts, so without this limit they would pile up at an endpoint that does not respond.
+     * Returns whether an endpoint has fewer attempts in flight than its fair share: its weight times the number of
+     * attempts that this proxy would have in flight with the new one, rounded up, and at least 1. The virtual time
+     * counts attempts when they start and not when they end, so without this limit an endpoint that does not respond
+     * would accumulate attempts.
      */
     private boolean isBelowFairShare(EndpointRecord endpoint) {
         double fairShare = Math.ceil(endpoint.weight() * (limiter.attemptsInFlight() + 1));
@@ -110,9 +118,9 @@
     }
 
     /**
-     * Returns whether an endpoint in a given condition may be used. Unhealthy endpoints are used only above {@link
-     * #PANIC_THRESHOLD}. Failing endpoints count separately: if only some of the unhealthy endpoints are failing and
-     * the others are suspect, the failing ones are not used.
+     * Returns whether an endpoint in the given condition may be used. A suspect endpoint may be used if the fraction of
+     * unhealthy endpoints, suspect or failing, exceeds {@link #PANIC_THRESHOLD}. A failing endpoint may be used only if
+     * the fraction of failing endpoints alone exceeds it.
      */
     private static boolean isAcceptable(
             EndpointHealth.Condition condition, int permittedCount, int unhealthyCount, int failingCount) {
--- a/src/main/java/gaugegw/balancer/EndpointLatency.java
+++ b/src/main/java/gaugegw/balancer/EndpointLatency.java
@@ -1,14 +1,17 @@
 package gaugegw.balancer;
 
 /**
- * The expected latency of an endpoint: a weighted mean of the average over all endpoints of its kind and of the
- * endpoint's own samples.
+ * The expected latency of an endpoint. It is the mean of the endpoint's own samples and of {@link
+ * ControlParameters#KIND_PRIOR_SAMPLES} assumed samples, each equal to the average over all endpoints of its kind. The
+ * more samples the endpoint has, the less the average of its kind matters.
  */
 final class EndpointLatency {
     /** Shared by all endpoints of the same kind. */
     private LatencyAverage kindAverage;
 
+    /** Sum of the endpoint's own samples, in microseconds; decayed, see {@link #decayOwnSamples}. */
     private double ownSumUs;
+    /** Number of the endpoint's own samples; fractional, because it is decayed together with the sum. */
     private double ownSamples;
 
     /** Returns the average over all endpoints of the same kind. */
@@ -16,7 +19,7 @@
         return kindAverage;
     }
 
-    /** Sets the average of the kind in the list entry. Called before any other method, and with each new list entry. */
+    /** Sets the average of the endpoint's kind. Called before any other method, and again with each new list entry. */
     void setKindAverage(LatencyAverage kindAverage) {
         this.kindAverage = kindAverage;
     }
@@ -28,13 +31,13 @@
         ownSamples++;
     }
 
-    /** Returns the expected latency in microseconds; undefined while the kind has no samples. */
+    /** Returns the expected latency in microseconds. It is meaningful only once the kind has samples. */
     double expectedUs() {
         double priorSamples = ControlParameters.KIND_PRIOR_SAMPLES;
         return (priorSamples * kindAverage.meanUs() + ownSumUs) / (priorSamples + ownSamples);
     }
 
-    /** Reduces the influence of the endpoint's own samples; called at each refresh of the weights. */
+    /** Reduces the influence of the endpoint's earlier samples; called at each refresh of the weights. */
     void decayOwnSamples() {
         ownSumUs *= ControlParameters.REFRESH_DECAY_FACTOR;
         ownSamples *= ControlParameters.REFRESH_DECAY_FACTOR;
--- a/src/main/java/gaugegw/balancer/EndpointWeights.java
+++ b/src/main/java/gaugegw/balancer/EndpointWeights.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * Sets the weights of the ready endpoints in proportion to their speed, the reciprocal of their expected latency, so
- * that faster endpoints get more attempts. The weights add up to 1.
+ * Sets the weights of the ready endpoints so that faster endpoints get more attempts. A weight is proportional to the
+ * endpoint's speed, which is 1 / expected latency. The weights add up to 1.
  *
- * <p>The weights stay fixed for one refresh period, or until the endpoint list changes. Each refresh resets the virtual
- * times to zero, because virtual times that advanced under different weights cannot be compared.
+ * <p>The weights are refreshed once per refresh period and whenever the endpoint list changes. Each refresh resets the
+ * virtual times to zero, because virtual times that advanced under different weights cannot be compared.
  */
 final class EndpointWeights {
     /**
-     * Least speed of an endpoint, as a fraction of the highest. With less weight, a slow endpoint would get too few
-     * attempts to show that it has recovered.
+     * Lower bound on the speed that a weight is computed from, as a fraction of the highest speed. Without it, a slow
+     * endpoint would get too few attempts to show that it has recovered.
      */
     private static final double MIN_RELATIVE_SPEED = 0.05;
 
@@ -32,11 +32,15 @@
         }
     }
 
-    /** Sets the weights and sorts the endpoints; also called whenever the endpoint list has changed. */
+    /**
+     * Sets the weights, resets the virtual times, decays the latency samples and sorts the endpoints. Also called when
+     * the endpoint list has changed.
+     */
     void refresh(long nowUs) {
         refreshDueAtUs = nowUs + refreshPeriodUs;
         List<EndpointRecord> endpoints = membership.readyEndpoints();
         double scale = listWeightScale(endpoints);
+        // From here until the loop below, the weights hold speeds in 1 / microsecond.
         endpoints.forEach(e -> e.setWeight(
                 e.latency().kindAverage().sampleCount() > 0
                         ? 1 / e.latency().expectedUs()
@@ -55,9 +59,9 @@
     }
 
     /**
-     * Returns the factor that converts the weight in a list entry to a speed, in 1 / microsecond. Endpoints of a kind
-     * without latency samples get their speed from the list entry. The factor is the mean, over the endpoints of all
-     * other kinds, of 1 / (mean latency of the kind * weight in the list entry).
+     * Returns the factor that converts the weight in a list entry to a speed, in 1 / microsecond. It is used for the
+     * endpoints of kinds without latency samples. The factor is the mean, over the endpoints of all other kinds, of 1 /
+     * (mean latency of the kind * weight in the list entry), or 1 if no kind has samples.
      */
     private static double listWeightScale(List<EndpointRecord> endpoints) {
         return endpoints.stream()
--- a/src/main/java/gaugegw/balancer/LatencyAverage.java
+++ b/src/main/java/gaugegw/balancer/LatencyAverage.java
@@ -2,7 +2,8 @@
 
 /**
  * A moving average of latencies: the arithmetic mean of the first {@link ControlParameters#LATENCY_WINDOW_SAMPLES}
- * samples, then an exponential moving average over as many.
+ * samples, and afterwards an exponential moving average in which a new sample has the weight 1 / {@link
+ * ControlParameters#LATENCY_WINDOW_SAMPLES}.
  */
 final class LatencyAverage {
     private double meanUs;
@@ -19,7 +20,7 @@
         return meanUs;
     }
 
-    /** Returns the number of samples, at most {@link ControlParameters#LATENCY_WINDOW_SAMPLES}. */
+    /** Returns the number of samples, counted up to {@link ControlParameters#LATENCY_WINDOW_SAMPLES}. */
     int sampleCount() {
         return sampleCount;
     }
--- a/src/main/java/gaugegw/balancer/LoadStatistics.java
+++ b/src/main/java/gaugegw/balancer/LoadStatistics.java
@@ -1,11 +1,11 @@
 package gaugegw.balancer;
 
 /**
- * Statistics of successful responses: their rate and mean latency and, sampled once per refresh period, the unloaded
- * latency and the throughput per endpoint.
+ * Statistics of successful responses. Their rate and mean latency are updated with each response; the unloaded latency
+ * and the throughput per endpoint are sampled once per refresh period.
  *
- * <p>Sampling has a timer of its own. The refresh timer of {@link EndpointWeights} restarts at each change of the
- * endpoint list, so with that timer no sample would be taken during a rolling restart.
+ * <p>Sampling has a due time separate from that of {@link EndpointWeights}, where each change of the endpoint list
+ * postpones the next periodic refresh. With a shared due time, no sample would be taken during a rolling restart.
  */
 final class LoadStatistics {
     private final long samplingPeriodUs;
@@ -31,7 +31,7 @@
     /**
      * Records a successful response.
      *
-     * @param latencyUs its latency in microseconds
+     * @param latencyUs the latency of the attempt, in microseconds
      */
     void recordResponse(long latencyUs, long nowUs) {
         latency.record(latencyUs);
@@ -39,14 +39,18 @@
         rateUpdatedAtUs = nowUs;
     }
 
-    /** Samples the unloaded latency and the throughput per endpoint if a refresh period has passed. */
+    /**
+     * Samples the unloaded latency and the throughput per endpoint if a refresh period has passed since the last time.
+     *
+     * @param endpointCount the number of ready endpoints
+     */
     void sampleIfDue(int endpointCount, long nowUs) {
         if (nowUs < sampleDueAtUs) {
             return;
         }
         sampleDueAtUs = nowUs + samplingPeriodUs;
         sampleCount++;
-        // The minimum of the sampled means, because under load the mean includes queueing time.
+        // The minimum of the sampled means is used, because under load the mean latency includes queueing time.
         double meanUs = hasReliableLatency() ? latency.meanUs() : 0;
         unloadedLatencyUs = unloadedLatencyUs == 0 ? meanUs : Math.min(unloadedLatencyUs, meanUs);
         // The throughput is smoothed: when endpoints leave the list, the response rate still includes their responses,
@@ -79,7 +83,10 @@
         return unloadedLatencyUs;
     }
 
-    /** Returns the mean rate of successful responses from one endpoint to this proxy, per microsecond. */
+    /**
+     * Returns the rate of successful responses to this proxy divided by the number of ready endpoints, per microsecond.
+     * It is smoothed over the samples, and 0 before the first one.
+     */
     double endpointThroughputPerUs() {
         return endpointThroughputPerUs;
     }
