--- a/src/main/java/gaugegw/balancer/AttemptOutcomeRecorder.java
+++ b/src/main/java/gaugegw/balancer/AttemptOutcomeRecorder.java
@@ -3,7 +3,7 @@
 import gaugegw.balancer.api.AttemptOutcome;
 import gaugegw.balancer.api.Event.AttemptEnded;
 
-/** Updates the health, latency and load statistics with the outcome of an attempt. */
+/** Updates the health and latency of an endpoint, the outcome rates and the load statistics when an attempt ends. */
 final class AttemptOutcomeRecorder {
     private final OutcomeRates rates;
     private final LoadStatistics load;
@@ -16,7 +16,7 @@
     /** Records the outcome of an attempt that has ended. */
     void record(PendingRequest request, AttemptRecord attempt, AttemptEnded event, long nowUs) {
         AttemptOutcome outcome = event.outcome();
-        // A cancelled or unsent attempt says nothing about the endpoint.
+        // A cancelled or unsent attempt gives no information about the endpoint.
         boolean concernsEndpoint = outcome != AttemptOutcome.CANCELLED && outcome != AttemptOutcome.NOT_SENT;
         if (concernsEndpoint) {
             rates.recordAttempt(outcome);
@@ -30,8 +30,9 @@
     }
 
     /**
-     * Returns the latency to record, in microseconds. A failure counts as a slow response; otherwise an endpoint that
-     * fails fast would gain weight.
+     * Returns the latency to record for the endpoint, in microseconds. An error counts as a response that took as long
+     * as the latency objective, any other failure as one that took the whole timeout of the attempt. With its actual
+     * latency, an endpoint that fails fast would gain weight.
      */
     private static long effectiveLatencyUs(PendingRequest request, AttemptRecord attempt, AttemptEnded event) {
         return switch (event.outcome()) {
--- a/src/main/java/gaugegw/balancer/AttemptRecord.java
+++ b/src/main/java/gaugegw/balancer/AttemptRecord.java
@@ -16,7 +16,7 @@
      * Creates the record of an attempt that starts now.
      *
      * @param startedAtUs the current time on the proxy's clock, in microseconds
-     * @param timeoutUs time from the start after which the attempt ends without a response, in microseconds
+     * @param timeoutUs time from the start after which the attempt ends if there is no response, in microseconds
      */
     AttemptRecord(EndpointRecord endpoint, long startedAtUs, long timeoutUs) {
         this.endpoint = endpoint;
@@ -42,7 +42,7 @@
         return startedAtUs;
     }
 
-    /** Returns the timeout, in microseconds from the start. */
+    /** Returns the timeout, in microseconds from the start of the attempt. */
     long timeoutUs() {
         return timeoutUs;
     }
--- a/src/main/java/gaugegw/balancer/CacheAffinity.java
+++ b/src/main/java/gaugegw/balancer/CacheAffinity.java
@@ -4,8 +4,8 @@
 
 /**
  * Finds the endpoint that probably has the data for an affinity key in its cache, by rendezvous hashing. All proxies
- * find the same endpoint without communicating, and a change of the endpoint list affects only the keys of the
- * endpoints that are added or removed.
+ * with the same endpoint list find the same endpoint without communicating, and a change of the list affects only the
+ * keys of the endpoints that are added or removed.
  */
 final class CacheAffinity {
     private final EndpointMembership membership;
--- a/src/main/java/gaugegw/balancer/EarliestDeadlineSelector.java
+++ b/src/main/java/gaugegw/balancer/EarliestDeadlineSelector.java
@@ -68,11 +68,11 @@
             permittedCount++;
             unhealthyCount += healthy ? 0 : 1;
             failingCount += condition == EndpointHealth.Condition.FAILING ? 1 : 0;
-            boolean warmingUp = slowStart.isWarmingUp(endpoint, nowUs);
+            boolean inSlowStart = slowStart.isInSlowStart(endpoint, nowUs);
             // Every proxy may use an endpoint in slow start. Each proxy is limited to its share of the slow start
             // budget, so if only the proxies with the endpoint in their subset used it, most of the budget would be
             // unused.
-            boolean permittedBySubset = !healthy || remainingSubsetSize > 0 || warmingUp;
+            boolean permittedBySubset = !healthy || remainingSubsetSize > 0 || inSlowStart;
             PreferenceTier tier = PreferenceTier.of(condition, request.hasTried(endpoint));
             double deadline = deadline(endpoint, request);
             if (permittedBySubset
@@ -84,7 +84,7 @@
                 bestTier = tier;
                 bestDeadline = deadline;
             }
-            remainingSubsetSize -= healthy && subset.countsTowardSize(endpoint, warmingUp) ? 1 : 0;
+            remainingSubsetSize -= healthy && subset.countsTowardSize(endpoint, inSlowStart) ? 1 : 0;
         }
         return isAcceptable(bestCondition, permittedCount, unhealthyCount, failingCount) ? best : null;
     }
--- a/src/main/java/gaugegw/balancer/EndpointHealth.java
+++ b/src/main/java/gaugegw/balancer/EndpointHealth.java
@@ -4,22 +4,26 @@
 import java.util.stream.Stream;
 
 /**
- * The passive health of one endpoint: tracks the outcomes of its attempts, overall and for each flow. This detects
- * endpoints that hang, that are unreachable, or that fail the requests of some flows only.
+ * The passive health of one endpoint, derived from its attempts without health checks. It is tracked overall and for
+ * each flow, to detect an endpoint that hangs, is unreachable, or fails the requests of some flows only.
  */
 final class EndpointHealth {
     /** Whether an endpoint should receive the attempts of a flow. */
     enum Condition {
+        /** It may receive attempts. After a backoff, an endpoint is healthy only while no attempt is in flight. */
         HEALTHY,
-        /** Its attempts in flight have stalled, or an attempt is probing it after a backoff. */
+        /** Its attempts in flight have stalled, or its backoff has passed and an attempt is already in flight. */
         SUSPECT,
-        /** In backoff after a failure. */
+        /** It is in backoff after a failure. */
         FAILING
     }
 
-    /** Above this error rate over all endpoints, an isolated error is not evidence against one endpoint. */
+    /**
+     * Above this error rate over all endpoints, an isolated error is not evidence against one endpoint, see {@link
+     * HealthTracker#recordResult}.
+     */
     private static final double COMMON_ERROR_RATE = 0.015;
-    /** Minimum time without progress before an endpoint becomes suspect, in latency budgets. */
+    /** Minimum time without progress after which an endpoint is suspect, in latency budgets. */
     private static final int MIN_STALL_LATENCY_BUDGETS = 2;
 
     private final ControlParameters parameters;
@@ -38,10 +42,10 @@
 
     /**
      * Returns the condition of the endpoint for a flow: the worse of its overall condition and its condition for this
-     * flow. An endpoint without progress for less than the mean latency of its kind is not suspect, because it may just
-     * be busy.
+     * flow. Attempts in flight have stalled once there was no progress for {@link #MIN_STALL_LATENCY_BUDGETS} or for
+     * the mean latency of the endpoint's kind, whichever is longer. Before that, the endpoint may just be busy.
      *
-     * @param kindMeanUs the mean latency of the endpoint's kind, in microseconds
+     * @param kindMeanUs the mean latency of the endpoint's kind, in microseconds; 0 if unknown
      */
     Condition condition(int flow, double kindMeanUs, long nowUs) {
         long maxStallUs = (long) Math.max(MIN_STALL_LATENCY_BUDGETS * parameters.latencyBudgetUs(), kindMeanUs);
@@ -66,8 +70,8 @@
     }
 
     /**
-     * Records the outcome of an attempt. A failure to connect counts against the endpoint for all flows, any other
-     * failure only for the flow of the attempt.
+     * Records the outcome of an attempt. A failure to connect counts against the endpoint for all flows. Any other
+     * failure counts against it only for the flow of the attempt, and as a success overall.
      *
      * @param errorRate the error rate of attempts at all endpoints, from 0 to 1
      */
--- a/src/main/java/gaugegw/balancer/EndpointMembership.java
+++ b/src/main/java/gaugegw/balancer/EndpointMembership.java
@@ -13,8 +13,8 @@
 import java.util.function.Consumer;
 
 /**
- * The endpoints that this proxy knows. Applies updates of the endpoint list and keeps a record of each ready endpoint,
- * and of each draining one until the next complete list.
+ * The endpoints that this proxy knows. Applies updates of the endpoint list. It has a record of each ready endpoint,
+ * and of each endpoint that drains according to a delta until it is gone or the next complete list arrives.
  */
 final class EndpointMembership {
     private final BalancerSettings settings;
@@ -32,7 +32,7 @@
         this.order = new ProxyEndpointOrder(settings.proxyCount(), settings.proxyIndex());
     }
 
-    /** Returns the number of endpoint records kept. */
+    /** Returns the number of endpoint records. */
     int size() {
         return byId.size();
     }
@@ -48,8 +48,11 @@
     }
 
     /**
-     * Applies an update of the endpoint list. Endpoints missing from a complete list are removed. The caller must then
-     * refresh the weights, which also sorts the endpoints.
+     * Applies an update of the endpoint list, and closes the idle connections to endpoints that are no longer ready.
+     * Endpoints missing from a complete list are removed. The caller must then refresh the weights, which also sorts
+     * the endpoints.
+     *
+     * @param update a delta or a complete list; {@link UpdateKind#POLL_FAILED} would remove all endpoints
      */
     void apply(EndpointUpdate update, long nowUs, Consumer<Action> actions) {
         boolean complete = update.kind() != UpdateKind.DELTA;
@@ -67,7 +70,8 @@
 
     private void apply(Endpoint entry, long nowUs) {
         EndpointRecord endpoint = byId.get(entry.id());
-        // A different start time means that the process has restarted, so its old record no longer applies.
+        // A different start time means that the process has restarted. The new process gets a new record, without the
+        // health and the latency samples of the old one.
         if (endpoint != null && entry.startedAtUs() != endpoint.listEntry().startedAtUs()) {
             endpoint.markNotReady();
             readyEndpoints.remove(endpoint);
@@ -91,7 +95,7 @@
         }
     }
 
-    /** Closes the idle connections to an endpoint that is no longer ready, as no further attempt will use them. */
+    /** Closes the idle connections to an endpoint if it is no longer ready, because no attempt will use them again. */
     void closeIdleConnectionsUnlessReady(EndpointRecord endpoint, Consumer<Action> actions) {
         if (!endpoint.isReady()) {
             actions.accept(new Action.CloseIdleConnections(endpoint.id()));
--- a/src/main/java/gaugegw/balancer/EndpointRecord.java
+++ b/src/main/java/gaugegw/balancer/EndpointRecord.java
@@ -4,9 +4,9 @@
 import gaugegw.balancer.api.EndpointState;
 
 /**
- * The state that this proxy keeps for an endpoint: its list entry, health, latency, weight and virtual time. The record
- * stands for one process; if the process restarts under the same id, it gets a new record. {@link EndpointMembership}
- * applies list entries, {@link EndpointWeights} sets the weight and resets the virtual time.
+ * The state of an endpoint at this proxy: its list entry, health, latency, weight and virtual time. Each record is for
+ * one process; when the endpoint restarts under the same id, it gets a new record. {@link EndpointMembership} applies
+ * list entries, {@link EndpointWeights} sets the weight and resets the virtual time.
  */
 final class EndpointRecord {
     private final String id;
@@ -48,7 +48,7 @@
         return listEntry;
     }
 
-    /** Returns whether attempts may start, that is, unless the endpoint drains, is gone or has restarted. */
+    /** Returns whether attempts may start here. False if the endpoint is draining or gone, or if it has restarted. */
     boolean isReady() {
         return ready;
     }
@@ -57,7 +57,7 @@
         return inProxyZone;
     }
 
-    /** Returns the weight in the selection order. The weights of all ready endpoints add up to 1. */
+    /** Returns the weight set by the last refresh. After a refresh, the weights of all ready endpoints add up to 1. */
     double weight() {
         return weight;
     }
@@ -100,6 +100,6 @@
     void recordAttemptStarted(int flow, long nowUs) {
         virtualTime += 1;
         health.recordAttemptStarted(flow, nowUs);
-        slowStartTokens.takeToken();
+        slowStartTokens.useToken();
     }
 }
--- a/src/main/java/gaugegw/balancer/FailureBackoff.java
+++ b/src/main/java/gaugegw/balancer/FailureBackoff.java
@@ -1,14 +1,15 @@
 package gaugegw.balancer;
 
 /**
- * An exponential backoff after failures. Each failure doubles the backoff up to a limit, and each success halves it; a
- * success at the initial length ends it. Results that arrive during a backoff are ignored, because one fault may end
- * many attempts at once.
+ * An exponential backoff after failures. The first failure starts a backoff of the initial length. Each later failure
+ * doubles the length, up to a limit, and starts another backoff. Each success halves the length; a success at the
+ * initial length makes the backoff inactive. Results that arrive during a backoff are ignored, because one fault may
+ * end many attempts at once.
  */
 final class FailureBackoff {
     /** Whether attempts may start. */
     enum State {
-        /** There is no recent failure. */
+        /** Attempts may start; there was no failure, or enough successes have followed the last one. */
         INACTIVE,
         /** No attempt may start. */
         BACKING_OFF,
@@ -21,7 +22,9 @@
 
     private static final int GROWTH_FACTOR = 2;
 
+    /** Length of the last backoff, halved by each success since; 0 if the backoff is inactive. */
     private long backoffUs;
+
     private long backoffUntilUs = Long.MIN_VALUE;
 
     State state(long nowUs) {
@@ -31,7 +34,7 @@
         return backoffUs == 0 ? State.INACTIVE : State.PROBING;
     }
 
-    /** Returns whether a failure is remembered, that is, whether the state is not {@link State#INACTIVE}. */
+    /** Returns whether the state is {@link State#BACKING_OFF} or {@link State#PROBING}. */
     boolean hasRecentFailure() {
         return backoffUs > 0;
     }
--- a/src/main/java/gaugegw/balancer/HashMixer.java
+++ b/src/main/java/gaugegw/balancer/HashMixer.java
@@ -2,10 +2,10 @@
 
 /**
  * Mixes the bits of a hash code, because {@link String#hashCode} yields similar values for similar ids. The result
- * depends on the input alone, so that it is the same at every proxy.
+ * depends only on the input, so that it is the same at every proxy.
  */
 final class HashMixer {
-    /** The multiplier of Fibonacci hashing: 2^32 divided by the golden ratio. */
+    /** The multiplier of Fibonacci hashing: a prime close to 2^32 divided by the golden ratio. */
     private static final int GOLDEN_MULTIPLIER = 0x9E3779B1;
     /** The first multiplier in the finalizer of MurmurHash3. */
     private static final int MURMUR_MULTIPLIER = 0x85EBCA6B;
--- a/src/main/java/gaugegw/balancer/HealthTracker.java
+++ b/src/main/java/gaugegw/balancer/HealthTracker.java
@@ -4,28 +4,29 @@
 final class HealthTracker {
     private final FailureBackoff backoff = new FailureBackoff();
     /**
-     * When the last attempt ended other than by timeout or cancellation, or when the first of the attempts now in
-     * flight started, whichever is later.
+     * When an attempt last ended other than by timeout or cancellation, or last started with no other in flight,
+     * whichever is later.
      */
     private long lastProgressAtUs;
 
     private int inFlight;
-    private boolean lastWasError;
+    private boolean lastResultWasError;
 
     /** Returns the number of attempts in flight. */
     int inFlight() {
         return inFlight;
     }
 
+    /** Returns whether no attempt may start because of an earlier failure. */
     boolean isBackingOff(long nowUs) {
         return backoff.state(nowUs) == FailureBackoff.State.BACKING_OFF;
     }
 
     /**
-     * Returns whether another attempt may start: never during a backoff, one at a time while probing after a backoff,
-     * and otherwise unless the attempts in flight have stalled.
+     * Returns whether another attempt may start: never during a backoff, only one at a time while probing after a
+     * backoff, and otherwise unless the attempts in flight have stalled.
      *
-     * @param maxStallUs how long attempts in flight may go without progress, in microseconds
+     * @param maxStallUs time without progress after which attempts in flight have stalled, in microseconds
      */
     boolean isAvailable(long nowUs, long maxStallUs) {
         return switch (backoff.state(nowUs)) {
@@ -52,16 +53,16 @@
 
     /**
      * Records the result of an attempt. A success shortens the backoff. Any other result lengthens it, including a
-     * timeout or a rejection. The exception is an isolated error, one that follows neither an error nor a remembered
-     * failure: it is ignored while errors are common at all endpoints.
+     * timeout or a rejection. An isolated error is ignored while errors are common at all endpoints. An error is
+     * isolated if the previous result was not an error and the backoff is inactive.
      *
      * @param error whether the outcome is an error in the sense of {@link OutcomeRates#isError}
      * @param errorsAreCommon whether errors are common at all endpoints
      * @param initialBackoffUs the backoff after a first failure, in microseconds
      */
     void recordResult(boolean success, boolean error, boolean errorsAreCommon, long nowUs, long initialBackoffUs) {
-        boolean isolatedError = error && !lastWasError && !backoff.hasRecentFailure();
-        lastWasError = error;
+        boolean isolatedError = error && !lastResultWasError && !backoff.hasRecentFailure();
+        lastResultWasError = error;
         backoff.record(success || (isolatedError && errorsAreCommon), nowUs, initialBackoffUs);
     }
 }
--- a/src/main/java/gaugegw/balancer/ProxyEndpointOrder.java
+++ b/src/main/java/gaugegw/balancer/ProxyEndpointOrder.java
@@ -6,12 +6,12 @@
 
 /**
  * The order of the endpoints in one proxy. It decides between equal deadlines, and which endpoints are in the proxy's
- * {@link EndpointSubset}. With the same order everywhere, all proxies would start with the same endpoint.
+ * {@link EndpointSubset}. If all proxies had the same order, they would all start with the same endpoint.
  *
- * <p>The proxies are therefore divided into groups of about as many proxies as there are endpoints, or form one group
- * if they are fewer. The proxies of one group use the same shuffled order and start at evenly spaced positions in it,
- * by weight. Each group has its own shuffled order, so that proxies with the same first endpoint differ in the next
- * one.
+ * <p>The proxies are therefore divided into groups, each with about as many proxies as there are endpoints. If there
+ * are fewer proxies than endpoints, there is one group. The proxies of a group use the same shuffled order, but each
+ * starts at a different point of it; the points are evenly spaced by cumulative weight. Each group has a different
+ * shuffled order, so that proxies with the same first endpoint differ in the next one.
  */
 final class ProxyEndpointOrder {
     /** Tolerance for rounding errors where a start position falls on the boundary between two endpoints. */
@@ -31,7 +31,7 @@
         this.proxyIndex = proxyIndex;
     }
 
-    /** Sorts endpoints into this proxy's order, which depends on their ids and weights but not on their old order. */
+    /** Sorts endpoints into this proxy's order. It depends on their ids and weights, not on their previous order. */
     void sort(List<EndpointRecord> endpoints) {
         int groupCount = Math.max(1, proxyCount / Math.max(1, endpoints.size()));
         int shuffleSeed = HashMixer.mix(proxyIndex % groupCount);
@@ -42,7 +42,12 @@
         Collections.rotate(endpoints, -positionAt(startWeight, endpoints));
     }
 
-    /** Returns the position of the endpoint at which the cumulative weight reaches a start weight from 0 to 1. */
+    /**
+     * Returns the position of the endpoint whose part of the cumulative weight contains the start weight. On the
+     * boundary between two endpoints, it is the later one.
+     *
+     * @param startWeight the cumulative weight at which the order of this proxy starts, from 0 to below 1
+     */
     private static int positionAt(double startWeight, List<EndpointRecord> endpoints) {
         double remaining = startWeight;
         int position = 0;
--- a/src/main/java/gaugegw/balancer/SlowStartTokenBucket.java
+++ b/src/main/java/gaugegw/balancer/SlowStartTokenBucket.java
@@ -3,12 +3,12 @@
 import gaugegw.balancer.api.Endpoint;
 
 /**
- * The token bucket for the attempts that this proxy may start at one endpoint in slow start. Each attempt takes one
- * token. Unused tokens expire soon: if each of many proxies could save a token, all of them could start an attempt in
- * the same burst.
+ * The token bucket for the attempts that this proxy may start at one endpoint in slow start. Each attempt uses one
+ * token. Unused tokens expire within one overload window, see {@link #available}: if each of many proxies could save a
+ * token, all of them could start an attempt in the same burst.
  */
 final class SlowStartTokenBucket {
-    /** Fraction of a window's budget that may be used at once. The rest is granted evenly over the window. */
+    /** Fraction of a window's budget that may be used in a burst. The rest is granted evenly over the window. */
     private static final double BURST_FRACTION = 0.25;
     /**
      * The golden ratio minus 1. The fractional parts of its multiples are spread evenly for any range of consecutive
@@ -16,9 +16,9 @@
      */
     private static final double GOLDEN_FRACTION = (Math.sqrt(5) - 1) / 2;
 
-    /** All tokens granted since the bucket was created. */
+    /** Number of tokens granted since the bucket was created; fractional. */
     private double granted;
-    /** All tokens used or expired since the bucket was created. */
+    /** Number of tokens used or expired since the bucket was created; always whole tokens. */
     private double usedOrExpired;
 
     private long grantedAtUs;
@@ -37,19 +37,21 @@
     /**
      * Grants the tokens for the time since the last call and returns the number of whole tokens available.
      *
-     * <p>The budget of a window, {@code budgetPerUs * windowUs} tokens, is granted evenly, except for {@link
-     * #BURST_FRACTION} of it. How many unused tokens are kept depends on the budget:
+     * <p>The budget of a window is {@code budgetPerUs * windowUs} tokens. All of it except {@link #BURST_FRACTION} is
+     * granted, evenly over the window. The number of unused tokens that do not expire depends on the budget:
      *
      * <ul>
-     *   <li>Large budget: the tokens granted in a third of a window, which are {@link #BURST_FRACTION} of the budget.
-     *       If they are used at once, they and the tokens granted in the following window add up to the whole budget.
-     *   <li>Small budget (less than a third of a token per window): the tokens granted in a whole window. With fewer,
-     *       proxies with little traffic would rarely have a whole token. The tokens of two windows, one and a half
-     *       times the budget, may then be used within one window. {@link SlowStartBudget} leaves a margin for that.
+     *   <li>More than one token per window: {@link #BURST_FRACTION} of the budget, which is granted in a third of a
+     *       window. If these tokens are used at once, they and the tokens granted in the following window add up to the
+     *       whole budget.
+     *   <li>From a third of a token to one token per window: {@link #BURST_FRACTION} of one token.
+     *   <li>Less than a third of a token per window: the tokens granted in a whole window. With fewer, proxies with
+     *       little traffic would rarely have a whole token. The tokens of two windows, one and a half times the budget,
+     *       may then be used within one window. {@link SlowStartBudget} leaves a margin for that.
      * </ul>
      *
      * @param budgetPerUs this proxy's budget, in attempts per microsecond
-     * @param windowUs the time over which overload is counted, in microseconds
+     * @param windowUs the length of the overload window, in microseconds
      */
     double available(double budgetPerUs, long windowUs, long nowUs) {
         granted += (1 - BURST_FRACTION) * budgetPerUs * (nowUs - grantedAtUs);
@@ -60,8 +62,8 @@
         return Math.floor(granted) - usedOrExpired;
     }
 
-    /** Takes a token for an attempt that has started, during slow start or later. */
-    void takeToken() {
+    /** Uses a token for an attempt that has started. After slow start, the number of tokens no longer matters. */
+    void useToken() {
         usedOrExpired += 1;
     }
 }
