--- a/src/main/java/gaugegw/balancer/DiscoveryBackoff.java
+++ b/src/main/java/gaugegw/balancer/DiscoveryBackoff.java
@@ -3,10 +3,10 @@
 import java.util.Random;
 
 /**
- * Computes the delays between failed calls to discovery: exponential backoff with jitter, capped so that a change of
- * the endpoint list takes effect within {@link #MAX_PROPAGATION_DELAY_US}. In the worst case, a call that began just
- * before discovery became reachable times out, a second call times out after a delay, and a third call after another
- * delay is answered just before its timeout.
+ * Computes the delay after a failed call to discovery: exponential backoff with jitter, limited so that a change of the
+ * endpoint list takes effect within {@link #MAX_PROPAGATION_DELAY_US}. In the worst case, a call that began just before
+ * discovery became reachable times out, a second call times out after a delay, and a third call after another delay is
+ * answered just before its timeout: three call timeouts and two delays.
  */
 public final class DiscoveryBackoff {
     /** The longest time from when discovery has a change and is reachable until it takes effect, in microseconds. */
@@ -32,8 +32,8 @@
      */
     private static final double JITTER_SHARE = 0.5;
     /**
-     * The time of the last failure while there has been none. Not {@link Long#MIN_VALUE}, because the time since then
-     * would overflow.
+     * The time of the last failure before the first one. Not {@link Long#MIN_VALUE}, because the time elapsed since
+     * then would overflow.
      */
     private static final long NEVER_US = Long.MIN_VALUE / 2;
 
@@ -50,8 +50,8 @@
 
     /**
      * Records a failure and returns the delay until the next call, in microseconds. A successful call does not reset
-     * the backoff, because a watch may begin and then end at once, again and again. The backoff is reset when {@link
-     * #MAX_PROPAGATION_DELAY_US} pass without a failure.
+     * the backoff, because a watch may repeatedly begin and end at once. The backoff is reset by the first failure that
+     * comes more than {@link #MAX_PROPAGATION_DELAY_US} after the previous one.
      */
     long nextDelayUs(long nowUs) {
         boolean firstFailure = nowUs - lastFailureAtUs > MAX_PROPAGATION_DELAY_US;
--- a/src/main/java/gaugegw/balancer/DiscoveryPolling.java
+++ b/src/main/java/gaugegw/balancer/DiscoveryPolling.java
@@ -6,8 +6,9 @@
 import java.util.function.Consumer;
 
 /**
- * Decides when to call discovery for a watch of the endpoint list, if discovery sends the list only on request. Until a
- * list arrives, the call is repeated after each poll interval, and after the backoff if a call fails.
+ * Decides when to request a watch of the endpoint list, if discovery sends the list only on request. Until discovery
+ * sends an update, the request is repeated once per poll interval; after a failed call, it is repeated after the
+ * backoff delay if that ends earlier.
  */
 final class DiscoveryPolling {
     /** The token of the poll timer. It is part of the simulator's wire format and must not change. */
@@ -49,8 +50,8 @@
         }
     }
 
-    /** Cancels the scheduled poll: the list has arrived and discovery now sends its changes. */
-    void handleListReceived() {
+    /** Cancels the scheduled poll, because an update has arrived: the watch works and will deliver further ones. */
+    void handleUpdateReceived() {
         nextPollAtUs = NOT_SCHEDULED;
     }
 
--- a/src/main/java/gaugegw/balancer/EarliestDeadlineLoadBalancer.java
+++ b/src/main/java/gaugegw/balancer/EarliestDeadlineLoadBalancer.java
@@ -9,9 +9,10 @@
 import java.util.function.Consumer;
 
 /**
- * The load balancer of one proxy. It sends each attempt to the eligible endpoint with the earliest deadline, as defined
- * in {@link EarliestDeadlineSelector}. This class only passes each event to its collaborators, in a fixed order; they
- * make the decisions.
+ * The load balancer of one proxy. It starts each attempt at the endpoint that {@link EarliestDeadlineSelector} selects.
+ * The deadline in the name is that of an endpoint in weighted fair queueing, not that of a request.
+ *
+ * <p>This class passes each event to its collaborators in a fixed order; they make the decisions.
  */
 public final class EarliestDeadlineLoadBalancer implements LoadBalancer {
     private final RequestFlows flows;
@@ -68,7 +69,10 @@
         admission.processQueue(nowUs, actions);
     }
 
-    /** Handles one event. An event of a type that has no branch here requires no decision. */
+    /**
+     * Handles one event. {@link Event.StreamStarted} and {@link Event.HealthCheckEnded} are ignored. A timer of {@link
+     * AdmissionController} needs no code here, because {@link #handle} processes the queue after every event.
+     */
     private void dispatch(long nowUs, Event event, Consumer<Action> actions) {
         if (event instanceof Event.RequestArrived arrival) {
             handleRequestArrived(nowUs, arrival);
@@ -121,7 +125,7 @@
             return;
         }
         if (update.kind() != UpdateKind.CACHED) {
-            polling.handleListReceived();
+            polling.handleUpdateReceived();
         }
         membership.apply(update, nowUs, actions);
         weights.refresh(nowUs);
