--- a/src/main/java/gaugegw/balancer/AdmissionController.java
+++ b/src/main/java/gaugegw/balancer/AdmissionController.java
@@ -5,8 +5,8 @@
 
 /**
  * Starts attempts for queued requests while {@link ConcurrencyLimiter} permits more, at the endpoints that {@link
- * EarliestDeadlineSelector} selects. Gives up queued requests that have waited too long, and those of the lowest
- * priority when the queue grows too long.
+ * EarliestDeadlineSelector} selects. Rejects or fails queued requests that have waited too long, those of the lowest
+ * priority if the queue is longer than permitted, and all of them while no endpoint is ready.
  */
 final class AdmissionController {
     /**
@@ -14,8 +14,8 @@
      */
     private static final String TIMER_TOKEN = "held";
     /**
-     * How often the queue is processed per latency budget when no other event arrives. Requests may become admissible
-     * without an event, because the concurrency limit that is left unused accumulates over time.
+     * How often the queue is processed per latency budget while no other event arrives. Time alone may permit another
+     * attempt, because the unused part of the concurrency limit accumulates.
      */
     private static final int WAKE_UPS_PER_LATENCY_BUDGET = 4;
     /**
@@ -61,8 +61,9 @@
     }
 
     /**
-     * Starts those requests of the highest priority weight in the queue for which the selector chooses the affinity
-     * endpoint. They go before the other requests, because at any other endpoint they would use more capacity.
+     * Of the requests with the highest priority weight in the queue, starts those whose affinity endpoint is selected.
+     * They start before the others, which could otherwise occupy that endpoint; at an endpoint that does not have their
+     * key cached, they would use more capacity.
      */
     private void admitToAffinityEndpoints(long nowUs, Consumer<Action> actions) {
         int position = 0;
@@ -79,8 +80,8 @@
     }
 
     /**
-     * Starts requests in queue order. When no endpoint is selected for a first attempt, later first attempts of the
-     * same flow have to wait as well, while other flows and retries are not affected.
+     * Starts requests in queue order, up to the first one that the limiter does not permit. If no endpoint is selected
+     * for a first attempt, later first attempts of the same flow are skipped; retries and other flows are not.
      */
     private void admitInOrder(long nowUs, Consumer<Action> actions) {
         var blockedFlows = new boolean[flowCount];
@@ -109,8 +110,9 @@
     }
 
     /**
-     * Returns the timeout of an attempt that starts now, in microseconds. It never extends past the deadline and never
-     * expires before the objective, so {@link RetryPolicy} does not retry an attempt that timed out.
+     * Returns the timeout of an attempt that starts now, in microseconds: the time left until the request's deadline,
+     * but before the objective at most {@link #TIMEOUT_OBJECTIVE_MULTIPLE} times the time left until the objective. The
+     * attempt never times out before the objective, so {@link RetryPolicy} does not retry it after a timeout.
      */
     private static long timeoutUs(PendingRequest request, long nowUs) {
         long toObjectiveUs = request.objectiveAtUs() - nowUs;
@@ -119,9 +121,9 @@
     }
 
     /**
-     * Gives up the requests that have waited too long, and all requests if no endpoint is ready. The queue may hold as
-     * many requests as the limit permits attempts, but at least one; the requests beyond that have the lowest priority
-     * and are given up as well.
+     * Rejects or fails the requests that have waited until {@link PendingRequest#giveUpAtUs}, all requests if no
+     * endpoint is ready, and the requests beyond the maximum queue length. That length is the concurrency limit rounded
+     * up, but at least one; the requests beyond it are those of the lowest priority.
      */
     private void giveUp(long nowUs, Consumer<Action> actions) {
         for (int position = queue.size() - 1; position >= 0; position--) {
@@ -135,8 +137,9 @@
     }
 
     /**
-     * Sets a timer, unless one that fires early enough is already set. It ensures that each queued request gets a final
-     * answer before its deadline, even if no other event arrives.
+     * Sets a timer that processes the queue, unless one is already set that fires in time to give up the next
+     * request. With the timer, each queued request gets a final answer before its deadline even if no other event
+     * arrives.
      */
     private void scheduleWakeUp(long nowUs, Consumer<Action> actions) {
         long nextGiveUpAtUs = queue.nextGiveUpAtUs();
--- a/src/main/java/gaugegw/balancer/AdmissionQueue.java
+++ b/src/main/java/gaugegw/balancer/AdmissionQueue.java
@@ -5,17 +5,18 @@
 
 /**
  * The requests that wait for an attempt, ordered by priority weight (highest first) and then by latency objective
- * (earliest first). Also determines when each request is given up: early enough that its final answer is still of use
- * to the client.
+ * (earliest first). Also determines when each request is given up, that is, rejected or failed without another attempt:
+ * early enough that the client still receives the answer.
  */
 final class AdmissionQueue {
     /**
-     * A request is given up this many latency budgets before its objective; a later attempt would miss the objective.
+     * A request is given up this many latency budgets before its objective. An attempt that starts later would probably
+     * miss the objective.
      */
     private static final int GIVE_UP_LATENCY_BUDGETS = 2;
     /**
-     * A request is given up this many event intervals before its deadline; later, the client could disconnect before it
-     * has an answer.
+     * A request is given up at least this many minimum event intervals before its deadline. If it were given up later,
+     * the client could disconnect before it receives the answer.
      */
     private static final int GIVE_UP_EVENT_INTERVALS = 2;
 
@@ -28,7 +29,7 @@
     /**
      * Creates an empty queue.
      *
-     * @param minEventIntervalUs the shortest time between two rounds of events, in microseconds
+     * @param minEventIntervalUs see {@link gaugegw.balancer.api.BalancerSettings#minEventIntervalUs}
      */
     AdmissionQueue(ControlParameters parameters, long minEventIntervalUs, RequestFlows flows, CacheAffinity affinity) {
         this.giveUpBeforeObjectiveUs = GIVE_UP_LATENCY_BUDGETS * parameters.latencyBudgetUs();
@@ -37,7 +38,10 @@
         this.affinity = affinity;
     }
 
-    /** Adds a request behind all requests of a higher or equal rank. */
+    /**
+     * Adds a request behind those of a higher priority weight and those of the same weight with the same or an earlier
+     * objective. Sets the values of the request that apply while it is queued.
+     */
     void add(PendingRequest request) {
         long giveUpAtUs = Math.min(
                 request.objectiveAtUs() - giveUpBeforeObjectiveUs, request.deadlineAtUs() - giveUpBeforeDeadlineUs);
@@ -66,6 +70,7 @@
         return requests.get(position);
     }
 
+    /** Removes a request, if it is in the queue. */
     void remove(PendingRequest request) {
         requests.remove(request);
     }
--- a/src/main/java/gaugegw/balancer/ConcurrencyLimiter.java
+++ b/src/main/java/gaugegw/balancer/ConcurrencyLimiter.java
@@ -5,25 +5,34 @@
 
 /**
  * Limits the attempts that this proxy has in flight, so that requests queue at the proxy, which orders them by
- * priority, and not at the endpoints. The limit is the rate of responses times the latency budget.
+ * priority, and not at the endpoints. The limit is the rate of successful responses times the latency budget, that is,
+ * the number of attempts that the endpoints complete in a latency budget, with a minimum per endpoint.
  *
  * <p>The limit is fractional, because one of hundreds of proxies may be entitled to less than one attempt in flight on
- * average. Its integer part may always be used. Further attempts, up to the next integer or to {@link
- * #MIN_ATTEMPTS_PER_ENDPOINT}, may start if the limit was not fully used before: what is unused accumulates over time,
- * up to the limit times one refresh period, and attempts beyond the limit reduce it.
+ * average. Attempts within the limit may always start. One more may start, or as many as {@link
+ * #MIN_ATTEMPTS_PER_ENDPOINT} in total, if the proxy has used less than its limit before. The unused limit is the
+ * difference between the limit and the attempts in flight, summed over time; it is at most the limit times one refresh
+ * period, and it falls while more attempts are in flight than the limit.
  */
 final class ConcurrencyLimiter {
-    /** The limit allows for at least this multiple of the unloaded latency; with less, endpoints would be idle. */
+    /**
+     * The limit is computed with a latency of at least this multiple of the unloaded latency. With less, endpoints with
+     * slow responses would be idle while requests wait.
+     */
     private static final double LATENCY_HEADROOM = 1.2;
     /**
-     * The number of attempts in flight per endpoint that the limits of all proxies together always allow. With fewer,
-     * an endpoint would be idle between a response and the next attempt. Where one proxy's share of it is less than one
-     * attempt, the share applies to the average over time.
+     * The number of attempts in flight per endpoint that the limits of all proxies add up to at least. With fewer, an
+     * endpoint would be idle between a response and the next attempt. If there are more proxies than endpoints, {@link
+     * #extraAttemptsPerEndpoint} is added, which may be negative. One proxy's part may be less than one attempt; it
+     * then applies to the average over time, and at any one time the proxy may have this number of attempts in flight.
      */
     private static final double MIN_ATTEMPTS_PER_ENDPOINT = 3;
-    /** An attempt in flight for this multiple of the mean latency hangs, or is one of the few that are expensive. */
+    /**
+     * An attempt in flight for this multiple of the mean latency does not count toward the limit. It has hung, or it is
+     * one of the few expensive ones.
+     */
     private static final double HUNG_LATENCY_MULTIPLE = 8;
-    /** Above this share of timeouts, long attempts are a sign of overload and are not treated as hung. */
+    /** Above this timeout rate, long attempts are a sign of overload rather than hung, and count toward the limit. */
     private static final double OVERLOAD_TIMEOUT_SHARE = 0.08;
 
     private final int proxyCount;
@@ -54,7 +63,8 @@
     }
 
     /**
-     * Computes the limit for the event that is about to be handled, and accounts for the time since the previous one.
+     * Computes the limit for the event that is about to be handled, and adds the limit left unused since the previous
+     * event to the accumulated unused limit. Called before the event changes the attempts in flight.
      */
     void update(long nowUs) {
         limit = computeLimit(nowUs);
@@ -80,8 +90,9 @@
     }
 
     /**
-     * Returns whether an attempt of a request may start now. The more classes have a lower priority weight than the
-     * request, the further the accumulated unused limit may fall below zero.
+     * Returns whether an attempt of a request may start now. Beyond the limit, it may start only while the accumulated
+     * unused limit is at least -share * limit * refresh period, where share is the request's {@link
+     * PendingRequest#lowerPriorityShare}. A request of high priority may therefore exceed the limit for longer.
      */
     boolean permits(PendingRequest request, long nowUs) {
         int counted = countedAttempts(nowUs);
@@ -90,7 +101,10 @@
                         || unusedLimitUs >= -request.lowerPriorityShare() * limit * parameters.refreshPeriodUs());
     }
 
-    /** Returns the number of responses expected in a latency budget, but at least what keeps the endpoints busy. */
+    /**
+     * Returns the response rate times the latency budget, or times {@link #LATENCY_HEADROOM} unloaded latencies if they
+     * are longer. The result is at least this proxy's part of the minimum attempts per endpoint.
+     */
     private double computeLimit(long nowUs) {
         double latencyUs = Math.max(parameters.latencyBudgetUs(), LATENCY_HEADROOM * load.unloadedLatencyUs());
         double byResponseRate = load.responsesPerUs(nowUs) * latencyUs;
@@ -102,8 +116,8 @@
     /**
      * Returns how many attempts per endpoint are added to the minimum: c (1 - r) - r, with c the estimated number of
      * busy cores of an endpoint, from 1 to {@link #MIN_ATTEMPTS_PER_ENDPOINT}, and r the share of requests that are
-     * rejected. It is negative where most requests are rejected. A proxy with less than one endpoint to itself has so
-     * few attempts that only its own rejections let it tell overload from random variation.
+     * rejected. It is negative if most requests are rejected. Used if there are more proxies than endpoints: each proxy
+     * then has so few attempts that only its rejections distinguish overload from random variation.
      */
     private double extraAttemptsPerEndpoint() {
         double busyCores = load.endpointThroughputPerUs() * proxyCount * load.unloadedLatencyUs();
@@ -111,7 +125,10 @@
         return cores * (1 - rates.rejectionRate()) - rates.rejectionRate();
     }
 
-    /** Returns the attempts in flight except for hung ones, which would keep requests from endpoints that are idle. */
+    /**
+     * Returns the number of attempts in flight without the hung ones, which would otherwise use up the limit while
+     * endpoints are idle. Hung ones count as well while the mean latency is not reliable or the timeout rate is high.
+     */
     private int countedAttempts(long nowUs) {
         if (!load.hasReliableLatency() || rates.timeoutRate() > OVERLOAD_TIMEOUT_SHARE) {
             return inFlight.size();
--- a/src/main/java/gaugegw/balancer/DuplicateExecutionGuard.java
+++ b/src/main/java/gaugegw/balancer/DuplicateExecutionGuard.java
@@ -9,7 +9,8 @@
 
 /**
  * Prevents a request from taking effect twice. The invariant: once an attempt may have been executed, another attempt
- * starts, or the client is invited to retry, only if the request's class makes a second execution harmless.
+ * starts, or the client is invited to retry, only if the request is idempotent or the endpoint that receives the repeat
+ * discards it.
  */
 final class DuplicateExecutionGuard {
     private final BalancerSettings settings;
@@ -49,8 +50,8 @@
     }
 
     /**
-     * Returns whether an endpoint discards a repeat of an earlier attempt, even if connecting to it takes the whole
-     * connect timeout.
+     * Returns whether an endpoint discards a repeat of an earlier attempt. The deduplication window begins when the
+     * earlier attempt starts, and must not end before the repeat arrives, which may take the whole connect timeout.
      */
     private boolean isDeduplicated(
             RequestClass requestClass, AttemptRecord earlier, EndpointRecord endpoint, long nowUs) {
@@ -60,6 +61,11 @@
                 && sharesScope(requestClass.deduplicationScope(), earlier.listEntryAtStart(), endpoint.listEntry());
     }
 
+    /**
+     * Returns whether two endpoints share their idempotency keys. With {@link DeduplicationScope#ZONE}, an endpoint of
+     * unknown zone is assumed to share none, not even with itself. Cells are compared by number alone, without their
+     * zones.
+     */
     private static boolean sharesScope(DeduplicationScope scope, Endpoint first, Endpoint second) {
         return switch (scope) {
             case ALL -> true;
--- a/src/main/java/gaugegw/balancer/PendingRequest.java
+++ b/src/main/java/gaugegw/balancer/PendingRequest.java
@@ -11,7 +11,7 @@
  * marks the request as answered.
  */
 final class PendingRequest {
-    /** Most requests need one attempt, and few need more than one retry. */
+    /** Initial capacity of the list of attempts, because few requests need more than one retry. */
     private static final int EXPECTED_ATTEMPTS = 2;
 
     private final String id;
@@ -34,8 +34,8 @@
      * @param flow the index of its flow, see {@link RequestFlows}
      * @param affinityKey requests with the same key should go to the same endpoint; null if affinity does not apply
      * @param priorityWeight requests of a higher weight are started first; without a unit
-     * @param objectiveAtUs when the latency objective passes, or the deadline if late answers still count; no retry
-     *     starts afterwards
+     * @param objectiveAtUs the time from which no retry starts: the deadline, or the end of the latency objective if
+     *     that is earlier and late answers of the class have no weight
      * @param deadlineAtUs when the client gives up
      */
     PendingRequest(
@@ -72,14 +72,17 @@
         return affinityKey;
     }
 
+    /** Returns the priority weight; requests with a higher one are started first. */
     double priorityWeight() {
         return priorityWeight;
     }
 
+    /** Returns the time from which no retry starts; see the constructor. */
     long objectiveAtUs() {
         return objectiveAtUs;
     }
 
+    /** Returns when the client gives up. */
     long deadlineAtUs() {
         return deadlineAtUs;
     }
@@ -108,7 +111,10 @@
         return lowerPriorityShare;
     }
 
-    /** Returns the endpoint that probably has the affinity key cached, or null. Valid while it is queued. */
+    /**
+     * Returns the endpoint that probably has the affinity key cached, or null if there was no key or no ready endpoint
+     * when the request was queued. Valid while it is queued.
+     */
     EndpointRecord affinityEndpoint() {
         return affinityEndpoint;
     }
@@ -126,6 +132,7 @@
         return attempt < attempts.size() && attempts.get(attempt).isInFlight();
     }
 
+    /** Sets the values that apply while the request is queued. */
     void recordQueued(long giveUpAtUs, double lowerPriorityShare, EndpointRecord affinityEndpoint) {
         this.giveUpAtUs = giveUpAtUs;
         this.lowerPriorityShare = lowerPriorityShare;
--- a/src/main/java/gaugegw/balancer/RejectionPolicy.java
+++ b/src/main/java/gaugegw/balancer/RejectionPolicy.java
@@ -4,8 +4,8 @@
 import java.util.function.Consumer;
 
 /**
- * Chooses the final answer for a request that will not be attempted again: a rejection, which invites the client to
- * retry, if a retry is harmless, and otherwise a failure.
+ * Chooses the final answer for a request that will not be attempted again. If a retry by the client is harmless, the
+ * answer is a rejection, which invites the client to retry; otherwise it is a failure.
  */
 final class RejectionPolicy {
     private final RetryAfter retryAfter;
--- a/src/main/java/gaugegw/balancer/RequestPriority.java
+++ b/src/main/java/gaugegw/balancer/RequestPriority.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * Determines the priority weight of a request, its latency objective and its deadline. The weight is that of its class.
- * It is reduced by one factor if the tenant is over its quota, and by another if the objective has already passed,
- * because a late answer is worth less.
+ * Determines the priority weight, the latency objective and the deadline of an arriving request. The weight is that of
+ * its class, multiplied by one factor if the tenant is over its quota, and by another if the objective has already
+ * passed, because a late answer is worth less.
  */
 final class RequestPriority {
     private final BalancerSettings settings;
@@ -43,9 +43,10 @@
     }
 
     /**
-     * Returns when the client first sent this request. A request with a shorter timeout than the first requests of its
-     * class is a retry, whether or not the client marks it as one. The client then first sent it one class deadline
-     * before the end of its timeout.
+     * Returns when the client first sent this request, as far as that is known. If the client marks it as a retry and
+     * its timeout is shorter than that of each unmarked request of its class so far, a part of the class deadline has
+     * passed: the client first sent it one class deadline before the end of its timeout. Any other request is assumed
+     * to have been sent now.
      */
     private long clientStartedAtUs(RequestArrived arrival, RequestClass requestClass, long nowUs) {
         long timeoutUs = arrival.timeoutUs();
--- a/src/main/java/gaugegw/balancer/RequestRegistry.java
+++ b/src/main/java/gaugegw/balancer/RequestRegistry.java
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Marks a request as answered, cancels its attempts if cancellation is permitted, and removes the request if none
-     * of its attempts is in flight. Otherwise this is called again when the remaining attempts end.
+     * Marks a request as answered and removes it if none of its attempts is in flight; otherwise, the caller must call
+     * this method again when each of them ends. The first call cancels these attempts, if cancellation is permitted.
      */
     void complete(PendingRequest request, Consumer<Action> actions) {
         if (cancellation && !request.isAnswered()) {
--- a/src/main/java/gaugegw/balancer/RetryAfter.java
+++ b/src/main/java/gaugegw/balancer/RetryAfter.java
@@ -1,13 +1,14 @@
 package gaugegw.balancer;
 
 /**
- * Computes the Retry-After of a rejection: the expected time until the requests that are queued now have been answered.
- * A client that retried earlier would only be rejected again.
+ * Computes the Retry-After of a rejection: the expected time until the requests that are queued now have been answered,
+ * which is the queue length divided by the response rate. A client that retried earlier would probably be rejected
+ * again.
  */
 final class RetryAfter {
     /** The Retry-After is shortened by up to this fraction, so that clients do not retry at the same moment. */
     private static final double JITTER_SHARE = 0.25;
-    /** The jitter is taken from this many high bits of the request id's hash. */
+    /** The number of high bits of the request id's hash that determine the jitter. */
     private static final int JITTER_BITS = 16;
 
     private final long maxUs;
@@ -17,7 +18,7 @@
     private final AdmissionQueue queue;
 
     /**
-     * Creates a calculator that keeps no state of its own.
+     * Creates a calculator.
      *
      * @param maxUs the longest Retry-After that may be returned, in microseconds
      */
@@ -35,15 +36,18 @@
     }
 
     /**
-     * Returns the Retry-After for a request, in microseconds from now. Before jitter, it is at least one latency
-     * budget, but never more than the configured maximum.
+     * Returns the Retry-After for a request, in microseconds from now: the expected delay of the queue, raised to one
+     * latency budget, then limited to the configured maximum, then shortened by jitter.
      */
     long delayUs(PendingRequest request, long nowUs) {
         double delayUs = Math.min(Math.max(parameters.latencyBudgetUs(), queueDelayUs(nowUs)), maxUs);
         return (long) ((1 - JITTER_SHARE * jitter(request)) * delayUs);
     }
 
-    /** Returns the expected time until the queue is answered, or one refresh period without a ready endpoint. */
+    /**
+     * Returns the expected time until all queued requests are answered, in microseconds. It is one refresh period if no
+     * endpoint is ready. The response rate is taken to be at least one response per refresh period.
+     */
     private double queueDelayUs(long nowUs) {
         if (membership.readyEndpoints().isEmpty()) {
             return parameters.refreshPeriodUs();
--- a/src/main/java/gaugegw/balancer/RetryBudget.java
+++ b/src/main/java/gaugegw/balancer/RetryBudget.java
@@ -5,9 +5,12 @@
  * would be followed by another one, which would multiply the overload.
  */
 final class RetryBudget {
-    /** The ratio of retries to arriving requests in the long run. */
+    /** The maximum ratio of retries to arriving requests in the long run. */
     private static final double TOKENS_PER_REQUEST = 0.2;
-    /** Retries that may start without new requests, such as when an endpoint with several attempts in flight fails. */
+    /**
+     * The size of the bucket: how many retries may start in a burst, such as when an endpoint with several attempts in
+     * flight fails.
+     */
     private static final double MAX_TOKENS = 10;
 
     private static final double TOKENS_PER_RETRY = 1;
--- a/src/main/java/gaugegw/balancer/RetryPolicy.java
+++ b/src/main/java/gaugegw/balancer/RetryPolicy.java
@@ -1,10 +1,10 @@
 package gaugegw.balancer;
 
 /**
- * Decides whether a request whose attempts have all failed is attempted again: only before its latency objective
- * passes, within the maximum number of attempts and the {@link RetryBudget}, and if {@link DuplicateExecutionGuard}
- * permits an attempt at some ready endpoint. An attempt that has timed out is not retried, because the timeout that
- * {@link AdmissionController} sets does not expire before the objective.
+ * Decides whether a request whose attempts have all failed is retried. It is, if its objective has not passed, it has
+ * had fewer than the maximum number of attempts, the {@link RetryBudget} permits a retry, and {@link
+ * DuplicateExecutionGuard} permits an attempt at some ready endpoint. A request is not retried after a timeout, because
+ * the timeout that {@link AdmissionController} sets does not expire before the objective.
  */
 final class RetryPolicy {
     private final int maxAttempts;
@@ -40,7 +40,10 @@
         return retry;
     }
 
-    /** Without a ready endpoint that may receive it, a request would only take the place of another in the queue. */
+    /**
+     * Returns whether some ready endpoint may receive another attempt. If none may, the request would only occupy a
+     * place in the queue.
+     */
     private boolean hasPermittedEndpoint(PendingRequest request, long nowUs) {
         return membership.readyEndpoints().stream()
                 .anyMatch(endpoint -> duplicateGuard.permitsAttempt(request, endpoint, nowUs));
--- a/src/main/java/gaugegw/balancer/TenantQuotas.java
+++ b/src/main/java/gaugegw/balancer/TenantQuotas.java
@@ -37,14 +37,18 @@
     }
 
     /**
-     * Returns whether a request is over quota, and counts it. A retry is not counted, as the first request has been.
+     * Returns whether a request is over quota, and counts it toward the quota if it is not. A client's retry is not
+     * counted, because its first request has been.
      */
     boolean isOverQuota(String tenant, boolean retry, long nowUs) {
         Quota quota = byTenant.get(tenant);
         return quota != null && !quota.admits(retry, nowUs, refreshPeriodUs);
     }
 
-    /** The token bucket of a tenant. It holds at most the quota of one refresh period. */
+    /**
+     * The token bucket of a tenant, from which each request takes one token. It holds at most this proxy's part of the
+     * quota for one refresh period. If that is less than one token, every request of the tenant is over quota.
+     */
     private static final class Quota {
         private final int tenantIndex;
         private final double requestsPerUs;
--- a/src/main/java/gaugegw/balancer/package-info.java
+++ b/src/main/java/gaugegw/balancer/package-info.java
@@ -17,10 +17,13 @@
  *       DuplicateExecutionGuard} decides where a repeated attempt is harmless; {@code RejectionPolicy} chooses the
  *       final answer, and {@code RetryAfter} the time after which a rejected client should retry.
  *   <li>Discovery: {@code DiscoveryPolling} and {@code DiscoveryBackoff} decide when to request the endpoint list.
+ *   <li>Statistics: {@code LoadStatistics} and {@code OutcomeRates} hold the response rate, the latencies, and the
+ *       error, timeout and rejection rates; {@code ControlParameters} holds the time scales of all decisions.
  * </ul>
  *
- * <p>An instance serves one proxy and is confined to one thread. It has no clock and does no I/O. The time comes with
- * each event, in microseconds, and random numbers are generated from the seed in the settings, so that equal settings
- * and events give equal actions. For this reason, no decision depends on the iteration order of a hash table.
+ * <p>An instance serves one proxy and is confined to one thread. It has no clock and does no I/O. The current time is
+ * passed with each event, in microseconds, and random numbers are generated from the seed in the settings, so that
+ * equal settings, events and times give equal actions. For this reason, no decision depends on the iteration order of a
+ * hash table.
  */
 package gaugegw.balancer;
