--- a/src/main/java/gaugegw/balancer/RequestFlows.java
+++ b/src/main/java/gaugegw/balancer/RequestFlows.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * The request classes by name, and the indices of flows. A flow consists of the requests of one class and one tenant;
- * the requests of one class whose tenant has no quota form a flow as well. Endpoint health is tracked per flow, because
- * an endpoint may fail the requests of some flows only.
+ * The request classes by name, and the indexes of flows. A flow consists of the requests of one class and one tenant.
+ * All requests of a class that have no tenant, or one without a quota, are one flow. Endpoint health is tracked per
+ * flow, because an endpoint may fail only the requests of some flows.
  */
 final class RequestFlows {
     private final List<RequestClass> classes;
@@ -30,7 +30,7 @@
     RequestClass requestClass(String name) {
         RequestClass requestClass = byName.get(name);
         if (requestClass == null) {
-            throw new IllegalArgumentException("no request class named '" + name + "' in the settings");
+            throw new IllegalArgumentException("unknown request class '" + name + "', not in setting 'profiles'");
         }
         return requestClass;
     }
@@ -44,6 +44,7 @@
         return classes.indexOf(requestClass) * flowsPerClass + tenantIndex;
     }
 
+    /** Returns the number of flows. */
     int count() {
         return byName.size() * flowsPerClass;
     }
--- a/src/main/java/gaugegw/balancer/api/BalancerSettings.java
+++ b/src/main/java/gaugegw/balancer/api/BalancerSettings.java
@@ -8,13 +8,15 @@
  * @param proxyCount number of proxies that share the endpoints
  * @param proxyIndex index of this proxy among them, from 0
  * @param zone the zone that this proxy runs in
- * @param minEventIntervalUs the shortest time between two rounds of events, in microseconds
+ * @param minEventIntervalUs the shortest time between two batches of events that the load balancer receives, in
+ *     microseconds
  * @param requestClasses the request classes, at least one
  * @param tenants the tenants that have a quota; may be empty
- * @param overQuotaWeightFraction fraction of its priority weight, from 0 to 1, that a request over quota keeps
- * @param cacheAffinity whether a request takes less work at an endpoint that has its key cached
+ * @param overQuotaWeightFraction factor, from 0 to 1, by which the priority weight of a request over quota is
+ *     multiplied
+ * @param cacheAffinity whether an endpoint that has a request's key cached needs less capacity for the request
  * @param limits what the proxy is permitted to do
- * @param safetyLimits limits that protect endpoints that have just started, and keep the endpoint list up to date
+ * @param safetyLimits limits that protect endpoints and keep the endpoint list up to date
  * @param seed the seed of all random numbers
  */
 public record BalancerSettings(
@@ -32,8 +34,8 @@
     /**
      * Checks the components.
      *
-     * @throws IllegalArgumentException if a component is missing or out of range; the message names the setting as
-     *     deployments write it
+     * @throws IllegalArgumentException if a component is missing or out of range; the message names the setting as it
+     *     is written in the configuration
      */
     public BalancerSettings {
         require(proxyCount >= 1, "setting 'balancers': " + proxyCount + ", must be at least 1");
@@ -41,7 +43,7 @@
         require(zone != null, "setting 'locality': missing");
         require(minEventIntervalUs >= 0, "setting 'quantum_us': " + minEventIntervalUs + ", must be at least 0");
         require(requestClasses != null && !requestClasses.isEmpty(), "setting 'profiles': must have at least one item");
-        require(tenants != null, "setting 'projects': must be a list, which may be empty");
+        require(tenants != null, "setting 'projects': missing, must be a list (may be empty)");
         require(
                 overQuotaWeightFraction >= 0 && overQuotaWeightFraction <= 1,
                 "setting 'over_share_worth': " + overQuotaWeightFraction + ", must be from 0 to 1");
@@ -54,7 +56,8 @@
     /**
      * Throws if a component is not valid.
      *
-     * @param problem which setting or other value is wrong and what it must be; follows "invalid" in the message
+     * @param problem the name of the setting or other value, what is wrong with it and what is allowed; the message is
+     *     "invalid " followed by this text
      */
     static void require(boolean valid, String problem) {
         if (!valid) {
--- a/src/main/java/gaugegw/balancer/api/RequestClass.java
+++ b/src/main/java/gaugegw/balancer/api/RequestClass.java
@@ -6,13 +6,14 @@
  * @param name the name by which requests refer to the class
  * @param latencyObjectiveUs time within which a request should be answered, in microseconds
  * @param deadlineUs how long a client waits in total, including its own retries, in microseconds
- * @param priorityWeight the priority of a request that is answered within its objective; not negative, without a unit
- * @param lateWeightFraction fraction of the priority weight, from 0 to 1, that a request keeps after its objective
+ * @param priorityWeight requests with a higher weight are started first; not negative, without a unit
+ * @param lateWeightFraction factor, from 0 to 1, by which the priority weight is multiplied once the objective has
+ *     passed; if it is 0, a late answer is worthless, and the request is not retried after its objective
  * @param idempotency whether a request may be executed more than once
  * @param deduplicationScope which endpoints discard repeats; may be null unless the idempotency is
  *     {@link Idempotency#IDEMPOTENT_WITH_KEY}
- * @param deduplicationWindowUs for how long endpoints discard repeats, from the start of the first attempt that may
- *     have been executed, in microseconds
+ * @param deduplicationWindowUs the time during which endpoints discard repeats, from the start of the first attempt
+ *     that may have been executed, in microseconds
  */
 public record RequestClass(
         String name,
@@ -26,8 +27,8 @@
     /**
      * Checks the components.
      *
-     * @throws IllegalArgumentException if a component is missing or out of range; the message names the setting as
-     *     deployments write it
+     * @throws IllegalArgumentException if a component is missing or out of range; the message names the setting as it
+     *     is written in the configuration
      */
     public RequestClass {
         BalancerSettings.require(name != null && !name.isEmpty(), "setting 'name' of a profile: missing or empty");
@@ -47,7 +48,7 @@
         BalancerSettings.require(
                 idempotency != Idempotency.IDEMPOTENT_WITH_KEY
                         || (deduplicationScope != null && deduplicationWindowUs >= 0),
-                "setting of profile '" + name + "': 'key_scope' is missing or 'window_us' is below 0: "
-                        + deduplicationWindowUs);
+                "setting 'key_scope' or 'window_us' of profile '" + name + "': " + deduplicationScope + " and "
+                        + deduplicationWindowUs + ", must be present and at least 0");
     }
 }
--- a/src/main/java/gaugegw/settings/InvalidSettingException.java
+++ b/src/main/java/gaugegw/settings/InvalidSettingException.java
@@ -2,7 +2,10 @@
 
 import java.util.Optional;
 
-/** Thrown when a setting is missing or has an invalid value. The message is for operators and names the setting. */
+/**
+ * Thrown when a setting is missing or empty, or its value cannot be converted to the expected type. The message is for
+ * operators and names the setting.
+ */
 public final class InvalidSettingException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
@@ -18,17 +21,17 @@
     }
 
     static InvalidSettingException missing(String path, String expected) {
-        return new InvalidSettingException("missing setting '" + path + "'", path, null, expected);
+        return new InvalidSettingException("missing or empty setting '" + path + "'", path, null, expected);
     }
 
     static InvalidSettingException badNumber(String path, String value, String expected) {
         return new InvalidSettingException(
-                "bad number '" + value + "' in setting '" + path + "'", path, value, expected);
+                "bad number '" + value + "' in setting '" + path + "', must be " + expected, path, value, expected);
     }
 
     static InvalidSettingException unknownValue(String path, String value, String expected) {
         return new InvalidSettingException(
-                "unknown value '" + value + "' in setting '" + path + "'", path, value, expected);
+                "unknown value '" + value + "' in setting '" + path + "', must be " + expected, path, value, expected);
     }
 
     /** Returns the path of the setting, such as {@code bounds.cancel}. */
@@ -36,7 +39,7 @@
         return path;
     }
 
-    /** Returns the invalid value, or empty if the setting is missing. */
+    /** Returns the invalid value, or {@link Optional#empty()} if the setting is missing or empty. */
     public Optional<String> value() {
         return Optional.ofNullable(value);
     }
--- a/src/test/java/gaugegw/proxy/config/ProxyConfigTest.java
+++ b/src/test/java/gaugegw/proxy/config/ProxyConfigTest.java
@@ -64,11 +64,12 @@
         ObjectNode withoutSetting = ProxyFixture.configTree();
         ((ObjectNode) withoutSetting.path("settings").path("bounds")).remove("conn_idle_us");
         assertThatThrownBy(() -> ProxyConfig.parse(withoutSetting))
-                .hasMessage("'settings': missing setting 'bounds.conn_idle_us'");
+                .hasMessage("'settings': missing or empty setting 'bounds.conn_idle_us'");
         ObjectNode withUnknownValue = ProxyFixture.configTree();
         ((ObjectNode) withUnknownValue.path("settings").path("profiles").get(1)).put("effect", "sometimes");
         assertThatThrownBy(() -> ProxyConfig.parse(withUnknownValue))
-                .hasMessage("'settings': unknown value 'sometimes' in setting 'profiles.1.effect'");
+                .hasMessage("'settings': unknown value 'sometimes' in setting 'profiles.1.effect', "
+                        + "must be one of [at_most_once, deduplicated, idempotent]");
     }
 
     /** Code can read the parts of the error separately; the message, which the tests above check, is for operators. */
--- a/src/test/java/gaugegw/settings/SettingsTreeTest.java
+++ b/src/test/java/gaugegw/settings/SettingsTreeTest.java
@@ -44,11 +44,11 @@
         assertInvalid(() -> settings.booleanValueOr("mode", true), "mode", "fast");
     }
 
-    /** A setting that is present but empty is of no use, and is reported as missing. */
+    /** A setting that is present but empty has no value to convert. It is reported like a missing one. */
     @Test
     void reportsAnEmptySettingAsMissing() {
         var error = catchThrowableOfType(InvalidSettingException.class, () -> settings.longValue("empty"));
-        assertThat(error).hasMessage("missing setting 'empty'");
+        assertThat(error).hasMessage("missing or empty setting 'empty'");
         assertThat(error.value()).isEmpty();
         assertThat(error.expected()).isEqualTo("a whole number");
     }
@@ -79,7 +79,9 @@
         var error = catchThrowableOfType(InvalidSettingException.class, read);
         assertThat(error.path()).isEqualTo(path);
         assertThat(error.value()).contains(value);
-        assertThat(error).hasMessageContaining("'" + value + "' in setting '" + path + "'");
+        assertThat(error)
+                .hasMessageContaining("'" + value + "' in setting '" + path + "'")
+                .hasMessageEndingWith(", must be " + error.expected());
         return error.expected();
     }
 }
--- a/src/test/java/gaugegw/simulator/SimulatorHostTest.java
+++ b/src/test/java/gaugegw/simulator/SimulatorHostTest.java
@@ -289,7 +289,7 @@
         String without = START.replaceAll(" " + setting.replace(".", "\\.") + "=\\S*", "");
         assertThat(without).isNotEqualTo(START);
         assertThat(run(batch(without))).isEqualTo(1);
-        assertThat(error()).isEqualTo("line 2: up: missing setting '" + setting + "'");
+        assertThat(error()).isEqualTo("line 2: up: missing or empty setting '" + setting + "'");
     }
 
     @ParameterizedTest
@@ -299,8 +299,9 @@
                 "balancers=3|balancers=0|invalid setting 'balancers': 0, must be at least 1",
                 "profiles.0.aim_us=400000|profiles.0.aim_us=-1|"
                         + "invalid setting 'aim_us' of profile 'pay': -1, must be greater than 0",
-                "bounds.cancel=true|bounds.cancel=maybe|unknown value 'maybe' in setting 'bounds.cancel'",
-                "quantum_us=4000|quantum_us=4.5|bad number '4.5' in setting 'quantum_us'"
+                "bounds.cancel=true|bounds.cancel=maybe|unknown value 'maybe' in setting 'bounds.cancel', "
+                        + "must be one of [0, 1, false, true]",
+                "quantum_us=4000|quantum_us=4.5|bad number '4.5' in setting 'quantum_us', must be a whole number"
             })
     void namesAnInvalidSetting(String valid, String invalid, String message) throws IOException {
         assertThat(run(batch(START.replace(valid, invalid)))).isEqualTo(1);
