--- a/src/main/java/gaugegw/balancer/api/Action.java
+++ b/src/main/java/gaugegw/balancer/api/Action.java
@@ -1,8 +1,9 @@
 package gaugegw.balancer.api;
 
 /**
- * An instruction to the proxy. Each request gets exactly one final answer: the response of its first successful
- * attempt, which the proxy forwards without an action, or else a {@link Reject} or a {@link Fail}.
+ * An instruction to the proxy. Unless its client disconnects first, each request gets exactly one final answer: the
+ * response of its first successful attempt, which the proxy forwards without an action, or else a {@link Reject} or a
+ * {@link Fail}.
  */
 public sealed interface Action {
     /**
@@ -11,7 +12,8 @@
      *
      * @param requestId the id from the {@link Event.RequestArrived} of the request
      * @param endpointId the id from the endpoint list
-     * @param timeoutUs the timeout of the attempt, in microseconds; the client's timeout applies if it expires earlier
+     * @param timeoutUs the timeout of the attempt, in microseconds; if it is 0 or ends after the client's timeout, the
+     *     client's timeout applies
      */
     record StartAttempt(String requestId, String endpointId, long timeoutUs) implements Action {}
 
@@ -19,12 +21,12 @@
      * Sends the final answer of a request: it is rejected, and a retry by the client is harmless.
      *
      * @param requestId the request that is answered
-     * @param retryAfterUs how long the client should wait before a retry, in microseconds; 0 for no advice
+     * @param retryAfterUs how long the client should wait before a retry, in microseconds; 0 for no Retry-After
      */
     record Reject(String requestId, long retryAfterUs) implements Action {}
 
     /**
-     * Sends the final answer of a request: it has failed, and may have taken effect.
+     * Sends the final answer of a request: it has failed, and may have been executed.
      *
      * @param requestId the request that is answered
      */
--- a/src/main/java/gaugegw/balancer/api/AttemptOutcome.java
+++ b/src/main/java/gaugegw/balancer/api/AttemptOutcome.java
@@ -6,17 +6,20 @@
     SUCCESS(false),
     /** The endpoint answered with an error. */
     ERROR(false),
-    /** The endpoint rejected the request unread, because its queue is full or because it drains. */
+    /** The endpoint rejected the request without reading it, because its queue is full or it is draining. */
     REJECTED(true),
-    /** No answer arrived within the timeout of the attempt. */
+    /** The request was sent, but no answer arrived within the timeout of the attempt. */
     TIMEOUT(false),
-    /** No connection could be established in time. */
+    /** No connection could be established, or the request could not be sent completely. */
     CONNECT_FAILED(true),
-    /** The connection broke before the answer was complete. */
+    /** The connection broke after the request was sent and before the answer was complete. */
     RESET(false),
     /** The attempt was cancelled by {@link Action.CancelAttempt}. */
     CANCELLED(false),
-    /** The attempt was not sent, because its request had ended or had used up the attempts that are permitted. */
+    /**
+     * The attempt was not sent: the request had ended, the limits permitted no further attempt, the endpoint was not
+     * available, or the proxy failed to send it.
+     */
     NOT_SENT(true);
 
     private final boolean provesNotExecuted;
--- a/src/main/java/gaugegw/balancer/api/DeduplicationScope.java
+++ b/src/main/java/gaugegw/balancer/api/DeduplicationScope.java
@@ -1,8 +1,8 @@
 package gaugegw.balancer.api;
 
 /**
- * Which endpoints share the idempotency keys that they have seen, and so discard repeats of an {@link
- * Idempotency#IDEMPOTENT_WITH_KEY} request that another of them has executed.
+ * Which endpoints share the idempotency keys that they have seen. Each of them discards a repeat of an {@link
+ * Idempotency#IDEMPOTENT_WITH_KEY} request that any of them has executed.
  */
 public enum DeduplicationScope {
     /** All endpoints. */
--- a/src/main/java/gaugegw/balancer/api/Endpoint.java
+++ b/src/main/java/gaugegw/balancer/api/Endpoint.java
@@ -5,10 +5,12 @@
  *
  * @param id identifies the endpoint; the same for every proxy and after a restart of the endpoint's process
  * @param state whether the endpoint may receive attempts
- * @param kind the kind of machine that it runs on; the endpoints without one (null) are treated as one kind
+ * @param kind the kind of machine that it runs on, or null; endpoints whose kind is null are treated as one kind
  * @param zone the zone it runs in, or null
- * @param cell the number of its cell, see {@link DeduplicationScope#CELL}
- * @param startedAtUs when its process last started, on the proxy's clock in microseconds; 0 if long ago
+ * @param cell the number of its cell, see {@link DeduplicationScope#CELL}; cells of different zones are treated as the
+ *     same cell if they have the same number
+ * @param startedAtUs when its process last started, on the proxy's clock in microseconds; 0 if unknown or long ago, so
+ *     that the endpoint is not in slow start
  * @param weight its capacity relative to that of other endpoints, without a unit
  */
 public record Endpoint(
--- a/src/main/java/gaugegw/balancer/api/Event.java
+++ b/src/main/java/gaugegw/balancer/api/Event.java
@@ -2,25 +2,24 @@
 
 import java.util.List;
 
-/** Something that happened at the proxy. */
+/** An event that the proxy reports to its load balancer. */
 public sealed interface Event {
     /**
-     * The endpoint list was received or has changed, or a call to discovery has failed.
+     * The endpoint list was received or has changed, a call to discovery has failed, or a watch has ended.
      *
-     * @param kind what the entries contain
-     * @param endpoints the entries; an endpoint missing from a complete list is gone
+     * @param kind whether the entries are a complete list, changes, or none because of a failure
+     * @param endpoints the entries; an endpoint that is missing from a complete list has been removed
      */
     record EndpointUpdate(UpdateKind kind, List<Endpoint> endpoints) implements Event {}
 
     /**
-     * A request from a client has arrived. It must get exactly one final answer.
+     * A request from a client has arrived. It must get exactly one final answer, unless the client disconnects first.
      *
      * @param requestId identifies the request; never reused
      * @param requestClass the name of its class
-     * @param tenant its tenant, or null
-     * @param affinityKey identifies the data that the request is about, or null; see
-     *     {@link BalancerSettings#cacheAffinity}
-     * @param timeoutUs time from now until the client gives up, in microseconds
+     * @param tenant the name of its tenant, which need not be in the settings, or null
+     * @param affinityKey identifies the data that the request uses, or null; see {@link BalancerSettings#cacheAffinity}
+     * @param timeoutUs the time until the client gives up, from now, in microseconds
      * @param retry whether the client has marked it as a retry
      */
     record RequestArrived(
@@ -28,8 +27,8 @@
             implements Event {}
 
     /**
-     * The response of an attempt has begun to stream to the client. Neither the timeout of the attempt nor that of the
-     * client applies from here on.
+     * The response of an attempt has begun to stream to the client. From then on, neither the timeout of the attempt
+     * nor that of the client applies.
      *
      * @param requestId the request of the attempt
      * @param attempt number of the attempt, from 0
@@ -44,7 +43,7 @@
      * @param endpointId the endpoint of the attempt
      * @param outcome how the attempt ended
      * @param latencyUs time since the attempt started, in microseconds
-     * @param requestEnded whether the request has its final answer, from this attempt or from before
+     * @param requestEnded whether the request has ended: it has its final answer, or its client has disconnected
      */
     record AttemptEnded(
             String requestId,
@@ -56,7 +55,7 @@
             implements Event {}
 
     /**
-     * The client has disconnected and needs no answer any more. Attempts in flight still end with an
+     * The client has disconnected, so its request no longer needs an answer. Attempts in flight still end with an
      * {@link AttemptEnded}.
      *
      * @param requestId the client's request
--- a/src/main/java/gaugegw/balancer/api/Idempotency.java
+++ b/src/main/java/gaugegw/balancer/api/Idempotency.java
@@ -4,7 +4,10 @@
 public enum Idempotency {
     /** A second execution is harmless. */
     IDEMPOTENT,
-    /** The request has an idempotency key: for a limited time, the endpoints of a scope discard repeats of it. */
+    /**
+     * The request has an idempotency key, by which endpoints discard repeats. Which endpoints do so, and for how long,
+     * is set by {@link RequestClass#deduplicationScope} and {@link RequestClass#deduplicationWindowUs}.
+     */
     IDEMPOTENT_WITH_KEY,
     /** The request must not be executed twice. */
     NOT_IDEMPOTENT
--- a/src/main/java/gaugegw/balancer/api/Limits.java
+++ b/src/main/java/gaugegw/balancer/api/Limits.java
@@ -8,9 +8,9 @@
  * @param healthChecks whether {@link Action.CheckHealth} is permitted
  * @param endpointUpdatesOnRequest whether updates of the endpoint list arrive only after {@link Action.WatchEndpoints}
  *     or {@link Action.FetchEndpoints}
- * @param maxAttempts the maximum number of attempts of one request
- * @param maxRetryAfterUs the longest {@link Action.Reject#retryAfterUs}, in microseconds; 0 if a rejection must not
- *     carry one
+ * @param maxAttempts the maximum number of attempts of one request, including the first
+ * @param maxRetryAfterUs the longest {@link Action.Reject#retryAfterUs}, in microseconds; 0 if a rejection must have no
+ *     Retry-After
  * @param connectTimeoutUs the longest time until a new connection is established, in microseconds; an attempt reaches
  *     its endpoint no later than this after its start
  */
@@ -25,8 +25,8 @@
     /**
      * Checks the components.
      *
-     * @throws IllegalArgumentException if a component is out of range; the message names the setting as deployments
-     *     write it
+     * @throws IllegalArgumentException if a component is out of range; the message names the setting as it is written
+     *     in the configuration
      */
     public Limits {
         BalancerSettings.require(
--- a/src/main/java/gaugegw/balancer/api/SafetyLimits.java
+++ b/src/main/java/gaugegw/balancer/api/SafetyLimits.java
@@ -1,13 +1,15 @@
 package gaugegw.balancer.api;
 
 /**
- * Limits that protect endpoints from overload after they have started, and keep the endpoint list up to date.
+ * Limits that protect endpoints from overload during slow start, keep the endpoint list up to date, and prevent
+ * duplicate execution.
  *
- * @param initialCapacityFraction the least fraction of its full capacity that an endpoint has when it starts, up to 1
- * @param slowStartUs time from its start after which an endpoint has its full capacity, in microseconds
- * @param overloadMultiple an endpoint below its full capacity fails if all proxies together send it more than this
- *     multiple of its current capacity
- * @param overloadWindowUs the time over which the attempts at that endpoint are counted, in microseconds
+ * @param initialCapacityFraction the fraction of its full capacity that an endpoint has at least when it starts;
+ *     greater than 0, at most 1
+ * @param slowStartUs the duration of slow start, in microseconds; at its end, an endpoint has its full capacity
+ * @param overloadMultiple an endpoint in slow start fails if all proxies together start more attempts there within an
+ *     overload window than this multiple of what it can serve in that time at its current capacity
+ * @param overloadWindowUs the length of an overload window, in microseconds
  * @param pollIntervalUs the longest time between polls of the endpoint list while it is not watched, in microseconds
  * @param rejectedMayHaveExecuted whether {@link AttemptOutcome#REJECTED} may come from an endpoint that has already
  *     begun to execute the request
@@ -22,8 +24,8 @@
     /**
      * Checks the components.
      *
-     * @throws IllegalArgumentException if a component is out of range; the message names the setting as deployments
-     *     write it
+     * @throws IllegalArgumentException if a component is out of range; the message names the setting as it is written
+     *     in the configuration
      */
     public SafetyLimits {
         BalancerSettings.require(
--- a/src/main/java/gaugegw/balancer/api/Tenant.java
+++ b/src/main/java/gaugegw/balancer/api/Tenant.java
@@ -10,8 +10,8 @@
     /**
      * Checks the components.
      *
-     * @throws IllegalArgumentException if a component is missing or out of range; the message names the setting as
-     *     deployments write it
+     * @throws IllegalArgumentException if a component is missing or out of range; the message names the setting as it
+     *     is written in the configuration
      */
     public Tenant {
         BalancerSettings.require(name != null && !name.isEmpty(), "setting 'name' of a project: missing or empty");
--- a/src/main/java/gaugegw/balancer/api/UpdateKind.java
+++ b/src/main/java/gaugegw/balancer/api/UpdateKind.java
@@ -8,6 +8,6 @@
     SNAPSHOT,
     /** The complete list that the proxy had stored before it restarted; it may be out of date. */
     CACHED,
-    /** No entries: a call to discovery has failed or a watch has ended. The list so far stays in force. */
+    /** No entries: a call to discovery has failed or a watch has ended. The previous list remains in use. */
     POLL_FAILED
 }
--- a/src/main/java/gaugegw/settings/SettingNames.java
+++ b/src/main/java/gaugegw/settings/SettingNames.java
@@ -1,9 +1,10 @@
 package gaugegw.settings;
 
 /**
- * The names of settings as deployments write them. Each constant is named by the term that the code uses for the
- * setting. Apart from this class, these names appear only in the messages of the checks in {@code
- * gaugegw.balancer.api}. Durations are in microseconds.
+ * The names of settings as they are written in the configuration. Each constant has the name that the code uses for the
+ * setting, such as {@code latencyObjectiveUs} for {@code aim_us}. Apart from this class, the names of settings appear
+ * only in exception messages of {@code gaugegw.balancer} and {@code gaugegw.balancer.api}. Durations are in
+ * microseconds.
  */
 final class SettingNames {
     // The proxy and the fleet that it belongs to.
@@ -14,7 +15,7 @@
     static final String DISCOVERY_MODE = "registry_mode";
     static final String CACHE_AFFINITY = "extra.warm_keys";
 
-    // The list of request classes, and the names of an item.
+    // The list of request classes, and the settings of each item.
     static final String REQUEST_CLASSES = "profiles";
     static final String CLASS_NAME = "name";
     static final String LATENCY_OBJECTIVE_US = "aim_us";
@@ -25,7 +26,7 @@
     static final String DEDUPLICATION_SCOPE = "key_scope";
     static final String DEDUPLICATION_WINDOW_US = "window_us";
 
-    // The list of tenants, which may be missing; the names of an item; and a factor that applies to all tenants.
+    // The list of tenants, which may be missing, the settings of each item, and a factor that applies to all tenants.
     static final String TENANTS = "projects";
     static final String TENANT_NAME = "name";
     static final String QUOTA_PER_SECOND = "allowance_per_s";
@@ -42,7 +43,7 @@
     static final String BACKEND_IDLE_TIMEOUT_US = "bounds.conn_idle_us";
 
     // Limits that protect endpoints and keep the endpoint list up to date.
-    static final String INITIAL_CAPACITY = "invariants.cold_from";
+    static final String INITIAL_CAPACITY_FRACTION = "invariants.cold_from";
     static final String SLOW_START_US = "invariants.cold_us";
     static final String OVERLOAD_MULTIPLE = "invariants.fall_multiple";
     static final String OVERLOAD_WINDOW_US = "invariants.fall_us";
--- a/src/main/java/gaugegw/settings/SettingsReader.java
+++ b/src/main/java/gaugegw/settings/SettingsReader.java
@@ -11,11 +11,11 @@
 import java.util.Map;
 
 /**
- * Converts settings from the names and values that deployments write into the settings of a load balancer. The
- * simulator and the configuration of a proxy use the same names and values.
+ * Converts settings, as they are written in the configuration, into the settings of a load balancer. The simulator and
+ * the configuration of a proxy use the same names and values.
  *
- * <p>All methods throw {@link InvalidSettingException} if a setting is missing or its value is of the wrong type, and
- * another {@link IllegalArgumentException} if its value is out of range. Both messages name the setting.
+ * <p>All methods throw {@link InvalidSettingException} if a setting is missing, empty or of the wrong type, and another
+ * {@link IllegalArgumentException} if its value is out of range. Both messages name the setting.
  */
 public final class SettingsReader {
     private static final Map<String, Idempotency> IDEMPOTENCY = Map.of(
@@ -28,13 +28,13 @@
             "zone", DeduplicationScope.ZONE,
             "cell", DeduplicationScope.CELL);
 
-    /** By the mode of discovery, whether updates of the endpoint list arrive only on request. */
+    /** Maps the discovery mode to whether updates of the endpoint list arrive only on request. */
     private static final Map<String, Boolean> DISCOVERY_MODES = Map.of("pushed", false, "on_request", true);
 
     private SettingsReader() {}
 
     /**
-     * Reads the settings of a load balancer.
+     * Reads the settings of a load balancer. The over-quota factor is required only if there are tenants.
      *
      * @param seed the seed of the load balancer's random numbers
      */
@@ -98,7 +98,7 @@
                 settings.longValue(SettingNames.CONNECT_TIMEOUT_US));
     }
 
-    /** Returns the longest Retry-After in microseconds, or 0 if a rejection must not carry one. */
+    /** Returns the longest Retry-After in microseconds, or 0 if a rejection must have no Retry-After. */
     private static long maxRetryAfterUs(SettingsTree settings) {
         boolean allowed = settings.booleanValueOr(SettingNames.RETRY_AFTER, true);
         return allowed ? settings.longValue(SettingNames.MAX_RETRY_AFTER_US) : 0;
@@ -106,7 +106,7 @@
 
     private static SafetyLimits safetyLimits(SettingsTree settings) {
         return new SafetyLimits(
-                settings.doubleValue(SettingNames.INITIAL_CAPACITY),
+                settings.doubleValue(SettingNames.INITIAL_CAPACITY_FRACTION),
                 settings.longValue(SettingNames.SLOW_START_US),
                 settings.doubleValue(SettingNames.OVERLOAD_MULTIPLE),
                 settings.longValue(SettingNames.OVERLOAD_WINDOW_US),
--- a/src/main/java/gaugegw/settings/SettingsTree.java
+++ b/src/main/java/gaugegw/settings/SettingsTree.java
@@ -9,9 +9,9 @@
 
 /**
  * An immutable map from the paths of settings, such as {@code bounds.cancel}, to their values. The path of a list item
- * contains its index, from 0, and the length of a list is at {@code .count}: {@code profiles.0.name}, {@code
- * profiles.count}. Settings that are never read are ignored, so that a deployment may contain settings that this
- * version does not know.
+ * contains its index, from 0, as in {@code profiles.0.name}; the length of a list has the path of the list followed by
+ * {@code .count}, as in {@code profiles.count}. Settings that are never read are ignored, so that a configuration may
+ * contain settings that this version does not know.
  *
  * <p>The getters throw {@link InvalidSettingException} if a setting is missing, empty, or of the wrong type.
  */
@@ -22,7 +22,7 @@
 
     private final Map<String, String> values;
 
-    /** The path of this tree from the root, ending with a dot, or empty for the root. */
+    /** The path of the list item that this tree represents, with a final dot, or empty for the root. */
     private final String prefix;
 
     private SettingsTree(Map<String, String> values, String prefix) {
@@ -39,6 +39,7 @@
         return values.containsKey(prefix + path);
     }
 
+    /** Returns the value of a setting as a string that is not empty. */
     public String text(String path) {
         return text(path, "a string");
     }
@@ -68,7 +69,10 @@
         return (long) value;
     }
 
-    /** As {@link #longValue}, but returns only the low 32 bits. A number that needs more bits is not an error. */
+    /**
+     * Returns the low 32 bits of {@link #longValue}. A number outside the range of {@code int} causes no exception, but
+     * is changed.
+     */
     public int intValue(String path) {
         return (int) longValue(path);
     }
@@ -92,15 +96,15 @@
         return oneOf(path, BOOLEANS);
     }
 
-    /** As {@link #booleanValue}, but returns a default if the setting is missing. */
+    /** Returns {@link #booleanValue}, or a default if the setting is missing. An empty setting is an error. */
     public boolean booleanValueOr(String path, boolean defaultValue) {
         return has(path) ? booleanValue(path) : defaultValue;
     }
 
     /**
-     * Returns what the value of a setting stands for.
+     * Returns the element of a map whose key is the value of a setting.
      *
-     * @param meanings the allowed values, each with what it stands for
+     * @param meanings the allowed values of the setting, each mapped to its meaning in the code
      */
     public <T> T oneOf(String path, Map<String, T> meanings) {
         String value = values.get(prefix + path);
@@ -132,7 +136,7 @@
         return items;
     }
 
-    /** As {@link #items}, but returns an empty list if the list is missing. */
+    /** Reads the items of a list like {@link #items}. Returns an empty list if the list has no count. */
     public <T> List<T> itemsIfPresent(String path, Function<SettingsTree, T> reader) {
         return has(path + COUNT) ? items(path, reader) : List.of();
     }
--- a/src/main/java/gaugegw/settings/package-info.java
+++ b/src/main/java/gaugegw/settings/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Converts settings as deployments write them into {@link gaugegw.balancer.api.BalancerSettings}.
+ * Converts settings, as they are written in the configuration, into {@link gaugegw.balancer.api.BalancerSettings}.
  *
  * <p>The simulator sends the settings as fields of one line, and the configuration of a proxy nests them in JSON. Both
  * are put into a {@link gaugegw.settings.SettingsTree}, which {@link gaugegw.settings.SettingsReader} reads. The
