--- a/src/test/java/gaugegw/balancer/AdmissionQueueTest.java
+++ b/src/test/java/gaugegw/balancer/AdmissionQueueTest.java
@@ -17,7 +17,7 @@
 import java.util.HashMap;
 import org.junit.jupiter.api.Test;
 
-/** The order in which queued requests are started, and which of them are rejected and when. */
+/** Tests the order in which queued requests are started, and which requests are rejected and when. */
 class AdmissionQueueTest {
     private final LoadBalancerDriver driver = new LoadBalancerDriver();
 
@@ -26,7 +26,7 @@
      * past its deadline. A few requests are started, a few are queued, and the rest are rejected at once.
      */
     @Test
-    void queuesUpToItsBoundAndRejectsTheRestAtOnce() {
+    void queuesUpToItsMaximumLengthAndRejectsTheRestAtOnce() {
         driver.snapshot(endpoint("a"), endpoint("b"));
         for (int i = 0; i < 100; i++) {
             driver.submit(READ);
@@ -93,8 +93,8 @@
 
     /**
      * Under overload, a client retries a request whose latency objective has already passed. In this class, a late
-     * answer is worth nothing, and it would take capacity from a request that can still meet its objective. The retry
-     * is rejected, but served when there is spare capacity.
+     * answer is worthless, and it would use capacity that a request could use that can still meet its objective. The
+     * retry is rejected under overload and served while there is spare capacity.
      */
     @Test
     void retryPastItsLatencyObjectiveIsServedOnlyFromSpareCapacity() {
@@ -105,9 +105,9 @@
         }
         assertThat(driver.attemptCount("first2")).isEqualTo(1);
         assertThat(driver.attemptCount("first3")).isZero();
-        // 1.2 s of the 2 s deadline are left: the client first sent it 0.8 s ago, and the objective is 0.6 s.
+        // 1.2 s of the 2 s deadline are left: the client first sent it 0.8 s ago, so its objective of 0.6 s has passed.
         driver.handle(new RequestArrived("late", "read", null, null, 1200 * MILLIS, true));
-        // As much time is left as for a first request, so it is not known when the client first sent it.
+        // As much time is left as for a first request, so it is treated like one: its objective has not passed.
         driver.handle(new RequestArrived("again", "read", null, null, 1800 * MILLIS, true));
         assertThat(driver.hasEmitted(new Reject("late", 0))).isTrue();
         driver.endAttempt("first0", AttemptOutcome.SUCCESS, MILLIS);
--- a/src/test/java/gaugegw/balancer/ConcurrencyLimiterTest.java
+++ b/src/test/java/gaugegw/balancer/ConcurrencyLimiterTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The number of attempts that one proxy has in flight. */
+/** Tests how many attempts one proxy may have in flight. */
 class ConcurrencyLimiterTest {
     private final LoadBalancerDriver driver = new LoadBalancerDriver();
 
@@ -77,14 +77,14 @@
     private record StartedAttempt(String requestId, long atUs) {}
 
     /**
-     * Two of three proxies are gone, and the limit of the last one is meant for a third of the traffic. A response
-     * takes long even without queueing, so the limit is reached while the endpoints are idle. The limit must grow until
-     * the endpoints are busy. This must also work while the endpoint list changes every second, as during a rollout,
-     * which is more often than the weights are refreshed.
+     * Two of three proxies have failed. The last one computes its limit for a third of the traffic, because its
+     * settings still say three proxies. Responses are slow even without queueing, so the limit is reached while the
+     * endpoints are idle. It must grow until the endpoints are busy, also while the endpoint list changes every second,
+     * as during a rollout, which is more often than the weights are refreshed.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void lastProxyOfThreeKeepsItsEndpointsBusyWithSlowWork(boolean listChangesEachSecond) {
+    void lastProxyOfThreeKeepsItsEndpointsBusyWithSlowResponses(boolean listChangesEachSecond) {
         // Without queueing, a response takes 200 ms, more than a fifth of the shortest latency objective.
         var lastProxy = new LoadBalancerDriver(
                 minimalSettings().proxy(0, 3).requestClasses(READ, PAY).build());
@@ -114,7 +114,7 @@
 
     /**
      * Proxies share the endpoints but do not know of each other's attempts. If each of twelve proxies started as many
-     * attempts as a single one, the endpoints would get twelve times the attempts that they can queue.
+     * attempts as a single one, the endpoints would receive twelve times as many attempts as they can queue.
      */
     @Test
     void twelveProxiesTogetherHaveNoMoreInFlightThanOne() {
@@ -190,7 +190,7 @@
             assertThat(attemptsInTenSeconds(overloaded)).isLessThan(attemptsInTenSeconds(idle));
         }
 
-        /** Counts the attempts in ten seconds with one request every 400 ms, each taking all of that time. */
+        /** Counts the attempts in ten seconds with one request every 400 ms and attempts that last 400 ms. */
         private static long attemptsInTenSeconds(LoadBalancerDriver driver) {
             driver.advance(10 * SECONDS);
             long startedBefore = driver.startedAttempts();
--- a/src/test/java/gaugegw/balancer/DiscoveryPollingTest.java
+++ b/src/test/java/gaugegw/balancer/DiscoveryPollingTest.java
@@ -23,7 +23,7 @@
 
 /**
  * Discovery sends the endpoint list only on request: the load balancer watches the list and calls again after failures.
- * A proxy that did not call in time would send requests to endpoints that have long been drained.
+ * A proxy that did not call in time would send requests to endpoints that are no longer in the list.
  */
 class DiscoveryPollingTest {
     private static final Limits ON_REQUEST =
@@ -85,8 +85,8 @@
     }
 
     /**
-     * Each call costs discovery work, once for every proxy of the fleet. During an outage, calls must become rare, up
-     * to the bound.
+     * Every proxy of the fleet calls discovery, and each call adds load there. During an outage, the delay between
+     * calls must grow up to its maximum.
      */
     @Test
     void failedCallsAreRepeatedWithGrowingBackoff() {
@@ -105,9 +105,9 @@
     }
 
     /**
-     * A watch is answered and then ends at once, again and again. Each restart costs discovery a call or two. If an
-     * answer reset the backoff immediately, the watch would be restarted without a pause. Only a watch that lasts
-     * resets the backoff.
+     * A watch repeatedly receives an answer and ends at once. Each restart costs discovery one or two calls. If an
+     * answer reset the backoff, the watch would be restarted without a pause. Only a watch that lasts resets the
+     * backoff.
      */
     @Test
     void watchThatKeepsEndingIsRestartedWithGrowingBackoff() {
--- a/src/test/java/gaugegw/balancer/DuplicateEffectTest.java
+++ b/src/test/java/gaugegw/balancer/DuplicateEffectTest.java
@@ -22,8 +22,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * No request may take effect twice: after which attempts a request may be retried, where, and when it may be rejected.
- * A request "may have executed" if the outcome of an attempt does not prove that the endpoint did not execute it.
+ * Tests that no request takes effect twice: whether a request is retried after a failed attempt, at which endpoints,
+ * and whether it is rejected, which invites the client to retry. A request "may have executed" if the outcome of an
+ * attempt does not prove that the endpoint did not execute it.
  */
 class DuplicateEffectTest {
     private final LoadBalancerDriver driver = new LoadBalancerDriver();
@@ -126,7 +127,7 @@
      * last permitted start is earlier by the connect timeout.
      */
     @Test
-    void deduplicatedRequestIsNotRetriedIfItMayBeginPastItsWindow() {
+    void deduplicatedRequestIsNotRetriedIfTheRetryMayArrivePastItsWindow() {
         long connectTimeoutUs = 200 * MILLIS;
         var shortWindow = requestClass("pay")
                 .priorityWeight(10)
@@ -179,7 +180,7 @@
      * nothing: it counts like any other failure, for retries and for the final answer.
      */
     @Nested
-    class WhenARejectionMayHaveExecuted {
+    class WhenARejectedRequestMayHaveExecuted {
         private final LoadBalancerDriver driver = new LoadBalancerDriver(settings()
                 .safetyLimits(safetyLimits().rejectedMayHaveExecuted(true).build())
                 .build());
--- a/src/test/java/gaugegw/balancer/RequestCompletionTest.java
+++ b/src/test/java/gaugegw/balancer/RequestCompletionTest.java
@@ -40,7 +40,7 @@
         assertThat(driver.actions).containsOnlyOnce(new Reject(queued, 0));
     }
 
-    /** The endpoint list is empty. To queue a request would only delay its rejection. */
+    /** The endpoint list is empty. Queueing a request would only delay its rejection. */
     @Test
     void withoutEndpointsARequestIsRejectedAtOnce() {
         driver.snapshot();
@@ -53,7 +53,7 @@
      * event, and the disconnect of the client that follows must not cause a second one.
      */
     @Test
-    void timeoutAtTheDeadlineIsAnsweredOnceAndAtOnce() {
+    void timeoutAtTheDeadlineIsAnsweredOnceAndForTheSameEvent() {
         driver.snapshot(endpoint("a"));
         String id = driver.submit(READ);
         driver.nowUs += READ.deadlineUs();
@@ -64,7 +64,7 @@
 
     /** An attempt that continued past the deadline would work for a client that no longer waits. */
     @Test
-    void attemptTimesOutBeforeTheClientsDeadline() {
+    void attemptTimesOutByTheClientsDeadline() {
         driver.snapshot(endpoint("a"));
         String id = driver.submit(VOTE);
         assertThat(driver.lastAttempt(id).timeoutUs()).isBetween(1L, VOTE.deadlineUs());
@@ -82,7 +82,7 @@
         assertThat(driver.endAttempt(id, AttemptOutcome.CANCELLED, MILLIS)).isEmpty();
     }
 
-    /** If the settings do not permit cancellation, the attempt is left to end by itself. */
+    /** If the settings do not permit cancellation, the attempt is not cancelled and continues. */
     @Test
     void withoutCancellationADisconnectCausesNoAction() {
         var driverWithoutCancellation = new LoadBalancerDriver(
--- a/src/test/java/gaugegw/balancer/RetryPolicyTest.java
+++ b/src/test/java/gaugegw/balancer/RetryPolicyTest.java
@@ -30,8 +30,8 @@
     }
 
     /**
-     * An answer after the latency objective is worth nothing in this class. An attempt that waited until the deadline
-     * would use a part of the concurrency limit for nothing.
+     * In this class, an answer after the latency objective is worthless. An attempt that lasted until the deadline
+     * would use a part of the concurrency limit without benefit.
      */
     @Test
     void attemptTimesOutSoonAfterTheLatencyObjective() {
--- a/src/test/java/gaugegw/balancer/testing/BalancerSettingsBuilder.java
+++ b/src/test/java/gaugegw/balancer/testing/BalancerSettingsBuilder.java
@@ -24,7 +24,7 @@
 
     BalancerSettingsBuilder() {}
 
-    /** Makes this proxy number {@code index} of {@code count}. */
+    /** Sets the index of this proxy, from 0, and the number of proxies. */
     public BalancerSettingsBuilder proxy(int index, int count) {
         proxyIndex = index;
         proxyCount = count;
--- a/src/test/java/gaugegw/balancer/testing/EndpointBuilder.java
+++ b/src/test/java/gaugegw/balancer/testing/EndpointBuilder.java
@@ -37,7 +37,7 @@
         return this;
     }
 
-    /** Sets the time of the latest start; 0 stands for long ago. */
+    /** Sets when the process last started, in microseconds; 0 means long ago, so that there is no slow start. */
     public EndpointBuilder startedAtUs(long value) {
         startedAtUs = value;
         return this;
--- a/src/test/java/gaugegw/balancer/testing/RequestClassBuilder.java
+++ b/src/test/java/gaugegw/balancer/testing/RequestClassBuilder.java
@@ -5,7 +5,7 @@
 import gaugegw.balancer.api.RequestClass;
 
 /**
- * Builds a request class. By default, it is idempotent, has the priority weight 1, and a late answer is worth nothing.
+ * Builds a request class. By default, it is idempotent, has the priority weight 1, and a late answer is worthless.
  */
 public final class RequestClassBuilder {
     private final String name;
--- a/src/test/java/gaugegw/balancer/testing/TestSettings.java
+++ b/src/test/java/gaugegw/balancer/testing/TestSettings.java
@@ -53,7 +53,7 @@
             .idempotency(Idempotency.NOT_IDEMPOTENT)
             .build();
 
-    /** Without Retry-After, so that a test can name the rejection that it expects. */
+    /** Limits without Retry-After, so that a test can compare a rejection with the expected one as a whole. */
     public static final Limits LIMITS = limits().build();
 
     public static final SafetyLimits SAFETY_LIMITS = safetyLimits().build();
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Returns a builder that starts from one proxy in zone "a", with {@link #READ} as its only class, and at least 1 ms
-     * between two rounds of events.
+     * Returns a builder that starts from one proxy in zone "a", with {@link #READ} as its only class, a minimum event
+     * interval of 1 ms, and no lower priority weight for requests over quota.
      */
     public static BalancerSettingsBuilder minimalSettings() {
         return settings()
@@ -88,7 +88,7 @@
     }
 
     /**
-     * Returns a builder that starts from an idempotent class of priority weight 1 whose late answers are worth nothing.
+     * Returns a builder that starts from an idempotent class of priority weight 1 whose late answers are worthless.
      */
     public static RequestClassBuilder requestClass(String name) {
         return new RequestClassBuilder(name);
