--- a/src/main/java/gaugegw/balancer/EarliestDeadlineLoadBalancer.java
+++ b/src/main/java/gaugegw/balancer/EarliestDeadlineLoadBalancer.java
@@ -60,6 +60,7 @@
     @Override
     public void handle(long nowUs, Event event, Consumer<Action> actions) {
         limiter.update(nowUs);
+        // There is no clock and no call before the first event, which therefore starts sampling and polling.
         if (!started) {
             started = true;
             load.start(nowUs);
--- a/src/main/java/gaugegw/settings/SettingsTree.java
+++ b/src/main/java/gaugegw/settings/SettingsTree.java
@@ -70,8 +70,8 @@
     }
 
     /**
-     * Returns the low 32 bits of {@link #longValue}. A number outside the range of {@code int} causes no exception, but
-     * is changed.
+     * Returns the low 32 bits of {@link #longValue}. A number outside the range of {@code int} is not rejected; its
+     * high bits are lost.
      */
     public int intValue(String path) {
         return (int) longValue(path);
