--- a/src/main/java/gaugegw/proxy/discovery/CallTiming.java
+++ b/src/main/java/gaugegw/proxy/discovery/CallTiming.java
@@ -5,26 +5,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The time limits of calls to discovery. They follow from how soon the proxy must apply an endpoint change. A change at
- * a service must be applied within 6 s from when discovery has it and can be reached, and within 3 s after the end of
- * the hold of a call that missed it. A change at a local agent must be applied within 1 s from when the agent has it
- * and can be reached.
+ * The time limits of calls to discovery. They follow from how soon the proxy must apply a change of the endpoint list:
  *
- * @param firstTimeoutMs timeout of the first call of the process, in milliseconds, counted from the end of its hold
+ * <ul>
+ *   <li>within 6 s after a discovery service has the change and is reachable;
+ *   <li>within 3 s after the end of the hold of a call, if discovery had the change during the hold but the call did
+ *       not return it;
+ *   <li>within 1 s after a local agent has the change and is reachable.
+ * </ul>
+ *
+ * @param firstTimeoutMs timeout of the first call of the process, in milliseconds; that call is never held
  * @param timeoutMs timeout of each later call, in milliseconds, counted from the end of its hold
  * @param holdMs the longest time for which discovery may hold a call of a watch, in milliseconds, before jitter
  */
 record CallTiming(long firstTimeoutMs, long timeoutMs, long holdMs) {
     /**
-     * Timeout of a call to a service, in milliseconds, counted from the end of its hold. A change that the call missed
-     * must be applied within 3 s after its hold; this leaves time for one more failing call.
+     * Timeout of a call to a service, in milliseconds, counted from the end of its hold. A change that the call did not
+     * return must be applied within 3 s after the hold: when the call has timed out, there is time left for one more
+     * call that fails.
      */
     private static final long SERVICE_CALL_TIMEOUT_MS =
             TimeUnit.MICROSECONDS.toMillis(DiscoveryBackoff.CALL_TIMEOUT_US);
     /**
      * Timeout of a call to a local agent, in milliseconds, counted from the end of its hold. An agent responds at once,
-     * and its changes must be applied within 1 s after it can be reached again. Two failing calls, each followed by a
-     * delay of {@link #AGENT_RETRY_DELAY_MS}, take just as long.
+     * and its changes must be applied within 1 s after it is reachable again. Two failed calls, each followed by
+     * {@link #AGENT_RETRY_DELAY_MS}, take 2 * (450 ms + 50 ms) = 1 s.
      */
     private static final long AGENT_CALL_TIMEOUT_MS = 450;
     /** Delay between a failed call to a local agent and the next call, in milliseconds. */
@@ -44,14 +49,14 @@
     /** The longest hold that discovery accepts, in milliseconds. */
     private static final long MAX_HOLD_MS = 60_000;
     /**
-     * The hold for a local agent, and the shortest one for a service, in milliseconds. The poll interval of the
-     * settings may shorten it further.
+     * The hold of a call to a local agent, and the lower bound for a service, in milliseconds. A short poll interval
+     * shortens it further, see {@link #holdMs(BalancerSettings, long)}.
      */
     private static final long MIN_HOLD_MS = 1_500;
     /**
      * Hold of a call to a service, per proxy of the fleet, in milliseconds. All proxies share the service, and each
-     * empty response costs it work: the hold grows with the number of proxies, so that the load on the service does
-     * not.
+     * empty response costs it work. As the hold is proportional to the number of proxies, the rate of empty responses
+     * does not grow with that number.
      */
     private static final long HOLD_PER_PROXY_MS = 500;
 
@@ -70,8 +75,9 @@
     }
 
     /**
-     * Limits a hold to twice the poll interval. If discovery becomes unreachable during a held call, the proxy can't
-     * tell that from a lack of updates, and receives none until the timeout of the call.
+     * Returns the preferred hold, limited to {@link #MAX_HOLD_MS} and to twice the poll interval of the settings. If
+     * discovery becomes unreachable during a held call, the proxy can't distinguish that from a lack of updates, and
+     * receives none until the timeout of the call.
      */
     private static long holdMs(BalancerSettings settings, long preferredMs) {
         long twicePollIntervalMs = 2 * settings.safetyLimits().pollIntervalUs() / 1_000;
--- a/src/main/java/gaugegw/proxy/discovery/DiscoveryCall.java
+++ b/src/main/java/gaugegw/proxy/discovery/DiscoveryCall.java
@@ -25,9 +25,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A single HTTP call to discovery, on a connection of its own, as there are too few calls for a connection pool. It
- * ends once, on the event loop: with a list, with a failure, or without notifying its listener if it is cancelled. Its
- * connection is closed by then.
+ * A single HTTP call to discovery on a new connection; calls are too rare for a connection pool. A call ends once, on
+ * the event loop, with a list or with a failure, of which its listener is notified after the connection has been
+ * closed. The listener is not notified if the call is cancelled.
  */
 final class DiscoveryCall {
     private static final int MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
@@ -70,7 +70,8 @@
     /** Connects and sends the request. Called once, on the event loop. */
     void start() {
         assert transport.loop().inEventLoop();
-        // If discovery becomes unreachable without closing the connection, TCP never reports it: only the timeout does.
+        // If discovery becomes unreachable without closing the connection, TCP reports nothing: only this timeout ends
+        // the call.
         scheduleTimeout(query.totalTimeoutMs());
         ChannelFuture connect = connect();
         channel = connect.channel();
@@ -105,7 +106,8 @@
     void cancel() {
         ended = true;
         timeoutTimer.cancel(false);
-        // A channel that could not be created is not open, and has no event loop on which it could be closed.
+        // If no channel could be created, Netty returned a placeholder, which is not open and has no event loop that
+        // could close it.
         if (channel.isOpen()) {
             channel.close();
         }
@@ -117,8 +119,8 @@
     }
 
     /**
-     * Shortens the timeout when the response begins: discovery no longer holds the call, and a response that stalls
-     * must not take up the rest of the hold.
+     * Shortens the timeout when the response begins: discovery no longer holds the call, and if the response stalls,
+     * the call must not wait for the end of its hold before it fails.
      */
     private void responseStarted() {
         responseStarted = true;
@@ -143,8 +145,8 @@
     }
 
     /**
-     * Detects the first bytes of a response. It is placed before the HTTP handlers, which may take long to assemble a
-     * complete response.
+     * Detects the first bytes of a response. It is the first handler in the pipeline, because the HTTP handlers pass a
+     * response on only when it is complete.
      */
     private final class ResponseStartHandler extends ChannelInboundHandlerAdapter {
         @Override
--- a/src/main/java/gaugegw/proxy/discovery/DiscoveryQuery.java
+++ b/src/main/java/gaugegw/proxy/discovery/DiscoveryQuery.java
@@ -5,8 +5,8 @@
 /**
  * The parameters of a call to discovery.
  *
- * @param fromVersion the version of the list that the proxy has, which asks for the updates after it; empty to ask for
- *     the complete list, which discovery sends at once
+ * @param fromVersion the version of the proxy's list, to ask for the updates since that version; empty to ask for the
+ *     complete list, which discovery sends at once
  * @param holdMs how long discovery may hold the call while there is no update, in milliseconds; 0 if it has to respond
  *     at once
  * @param timeoutMs the timeout, in milliseconds, counted from the end of the hold; also limits the time to connect and
@@ -33,7 +33,7 @@
         return list.full() || (fromVersion.isPresent() && list.version() >= fromVersion.getAsLong());
     }
 
-    /** Returns the request target: the path, and the query if there is one. */
+    /** Returns the request target: the path, followed by the version and the hold if there is a version. */
     String uri() {
         return fromVersion.isPresent() ? PATH + "?from=" + fromVersion.getAsLong() + "&hold_ms=" + holdMs : PATH;
     }
--- a/src/main/java/gaugegw/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/gaugegw/proxy/discovery/EndpointListParser.java
@@ -17,7 +17,7 @@
 
 /**
  * Parses endpoint lists from JSON. A malformed entry is logged and ignored, so that the other entries of its list can
- * still be applied.
+ * still be applied. An endpoint whose entry is ignored in a complete list counts as removed.
  */
 final class EndpointListParser {
     private static final int MAX_LOGGED_ENTRY_CHARS = 200;
@@ -36,7 +36,7 @@
     }
 
     /**
-     * Parses the body of a response from discovery. The caller closes the stream.
+     * Parses the body of a response from discovery and closes the stream.
      *
      * @throws MalformedListException if the document as a whole is not an endpoint list
      */
@@ -48,7 +48,9 @@
             throw new MalformedListException("the response is not valid JSON");
         }
         if (!isList(list)) {
-            throw new MalformedListException("the response is not an endpoint list with version, full and servers");
+            throw new MalformedListException(
+                    "the response is not an endpoint list: expected 'version' as a number of at"
+                            + " least 0, 'full' as true or false, and 'servers' as an array");
         }
         return new EndpointList(
                 list.path("version").asLong(), list.path("full").asBoolean(), endpoints(list.path("servers")));
@@ -62,7 +64,7 @@
                 && list.path("servers").isArray();
     }
 
-    /** Parses the list that the proxy had before its restart. A missing node is an empty list without a version. */
+    /** Parses the list that the proxy had before its restart. A missing node yields an empty list without a version. */
     CachedEndpointList parseCached(JsonNode list) {
         long version = list.path("version").asLong(NO_VERSION);
         return new CachedEndpointList(
@@ -81,9 +83,14 @@
         String text = entry.toString();
         String shortened =
                 text.length() <= MAX_LOGGED_ENTRY_CHARS ? text : text.substring(0, MAX_LOGGED_ENTRY_CHARS) + "...";
-        log.write("discovery: ignoring a malformed entry of the endpoint list: " + shortened);
+        log.write("discovery: ignoring an entry of the endpoint list whose id, state, addr or weight is invalid: "
+                + shortened);
     }
 
+    /**
+     * Parses one entry. Returns empty if its id, state or address is missing or invalid, or if its weight is not
+     * positive. A weight that is missing or not a number counts as {@link #DEFAULT_WEIGHT}.
+     */
     private static Optional<ListedEndpoint> endpoint(JsonNode entry) {
         String id = entry.path("id").asText();
         EndpointState state = STATES.get(entry.path("state").asText());
--- a/src/main/java/gaugegw/proxy/discovery/EndpointWatcher.java
+++ b/src/main/java/gaugegw/proxy/discovery/EndpointWatcher.java
@@ -16,17 +16,17 @@
 
 /**
  * Keeps the proxy's endpoint list up to date by calls to discovery, one at a time. The first call of a watch returns at
- * once. Each later one is sent as soon as the previous one has a response, and discovery may hold it until there is an
+ * once. Each later one is sent when the previous one has a response, and discovery may hold it until there is an
  * update.
  *
- * <p>A failed call ends the watch. If discovery is a service, the listener is notified, and the load balancer decides
- * when to poll again, with exponential backoff. A local agent is called again after a short fixed delay, without a
+ * <p>A failed call interrupts the watch. If discovery is a service, the listener is notified, and the load balancer
+ * resumes the watch after an exponential backoff. A local agent is called again after a short fixed delay, without a
  * notification.
  *
  * <p>All methods are called on the event loop, except for {@link #firstCallFuture} and {@link #hasLocalAgent}.
  */
 public final class EndpointWatcher {
-    /** Time within which the first call of a process to a service has a response or has failed, in milliseconds. */
+    /** Time after which the first call of a process to a service has succeeded or failed, in milliseconds. */
     public static final long FIRST_SERVICE_CALL_TIMEOUT_MS = CallTiming.FIRST_SERVICE_CALL_TIMEOUT_MS;
 
     /**
@@ -35,7 +35,7 @@
      * below 200 ms, the time within which the next call has to arrive for a watch to continue.
      */
     private static final long EMPTY_RESPONSE_DELAY_MS = 50;
-    /** A hold is shortened by a random time, up to the longest hold divided by this number. */
+    /** A hold is shortened by a random time of up to {@code holdMs / HOLD_JITTER_DIVISOR}. */
     private static final long HOLD_JITTER_DIVISOR = 4;
 
     private final EventLoop loop;
@@ -49,7 +49,9 @@
     private final SplittableRandom random;
     private final Promise<Void> firstCallPromise;
     private InetSocketAddress address;
+    /** Whether changes of the list are to be received. Stays true when a failed call interrupts the watch. */
     private boolean watching;
+
     /** Timeout of the next call, in milliseconds, counted from the end of its hold. */
     private long nextTimeoutMs;
     /**
@@ -64,7 +66,7 @@
     /**
      * Creates a watcher that makes no calls yet. May be called on any thread.
      *
-     * @param updateListener notified of each update and each failed poll
+     * @param updateListener notified of each update and, if discovery is a service, of each failed call
      * @param address the address of discovery, until {@link #changeAddress} is called
      */
     public EndpointWatcher(
@@ -87,16 +89,17 @@
     }
 
     /**
-     * Returns a future that completes when the first call has ended, with a list or a failure. Until then the cached
-     * list is the only one. May be called on any thread.
+     * Returns a future that completes when a call has ended for the first time, with a list or a failure; a cancelled
+     * call does not count. Until then the proxy has no list but the cached one. May be called on any thread.
      */
     public Future<Void> firstCallFuture() {
         return firstCallPromise;
     }
 
     /**
-     * Returns whether discovery is an agent on this machine. An agent responds at once, and a change has to be applied
-     * from the moment at which the agent has it, even if the proxy has not called it yet. May be called on any thread.
+     * Returns whether discovery is an agent on this machine, not a service that all proxies share. An agent responds at
+     * once, and a proxy must apply the changes that the agent already has before it serves its first request: it must
+     * not accept clients before {@link #firstCallFuture} has completed. May be called on any thread.
      */
     public boolean hasLocalAgent() {
         return hasLocalAgent;
@@ -118,7 +121,10 @@
         }
     }
 
-    /** Starts or ends the watch. If a call is in flight when the watch starts, the watch continues from that call. */
+    /**
+     * Starts or ends the watch. If a call is in flight when the watch starts, the watch continues from that call. When
+     * the watch ends, a call in flight is cancelled.
+     */
     public void watch(boolean enabled) {
         assert loop.inEventLoop();
         watching = enabled;
@@ -131,7 +137,7 @@
 
     /**
      * Calls discovery at another address from now on. The current endpoints stay in use until the new address has sent
-     * its complete list. A delta would not do, because its versions may differ from those of the old address.
+     * its complete list. A delta can't be used, because the new address may number its versions differently.
      */
     public void changeAddress(InetSocketAddress newAddress) {
         assert loop.inEventLoop();
@@ -186,8 +192,8 @@
         if (!watching) {
             call = null;
         } else if (!endedCall.query().mayBeHeld() || hasUpdate) {
-            // Before the listener is notified, which takes time: a watch continues only if its next call arrives within
-            // 200 ms of the last response.
+            // Send the next call before the listener is notified, which takes time: a watch continues only if its next
+            // call arrives within 200 ms of the last response.
             continueWatch(endedCall);
         } else {
             loop.schedule(() -> continueWatch(endedCall), EMPTY_RESPONSE_DELAY_MS, TimeUnit.MILLISECONDS);
@@ -201,7 +207,7 @@
     }
 
     private void continueWatch(DiscoveryCall endedCall) {
-        // The watch may have ended since, or have sent another call to fetch a list or after a change of the address.
+        // During the delay, the watch may have ended, or fetch() or changeAddress() may have sent another call.
         if (call == endedCall) {
             call(jitteredHoldMs());
         }
@@ -217,7 +223,7 @@
 
     private void callFailed(DiscoveryFailure failure) {
         log.write("discovery: call to " + address + " failed: " + failure.description()
-                + "; the current endpoint list stays in use");
+                + "; keeping the current endpoint list until a later call succeeds");
         call = null;
         firstCallPromise.trySuccess(null);
         if (hasLocalAgent) {
--- a/src/main/java/gaugegw/proxy/discovery/package-info.java
+++ b/src/main/java/gaugegw/proxy/discovery/package-info.java
@@ -9,13 +9,14 @@
  *   <li>{@code EndpointWatcher} sends a {@code DiscoveryCall} with the version of the list that the proxy has. The call
  *       is a long poll: discovery holds it until there is an update or the hold time is over.
  *   <li>{@code DiscoveryCall} has {@code EndpointListParser} parse the response. Malformed entries are ignored.
- *   <li>The watcher checks that a delta can be applied to its version, and sends the next call before anything else: a
- *       watch continues only if that call arrives within 200 ms of the last response.
+ *   <li>The watcher checks that a delta can be applied to its version, and sends the next call: a watch continues only
+ *       if that call arrives within 200 ms of the last response. If a call that could be held has returned without an
+ *       update, the next call is sent after a short delay.
  *   <li>{@link gaugegw.proxy.discovery.EndpointUpdateListener} is notified of the snapshot or delta. It applies the
- *       update to the connections and to the load balancer; the watcher itself keeps no endpoints.
+ *       update to the connections and to the load balancer; the watcher itself stores no endpoints.
  * </ol>
  *
- * <p>A call that ends with any {@code DiscoveryFailure} ends the watch. If discovery is a service, the listener is
+ * <p>A call that ends with a {@code DiscoveryFailure} interrupts the watch. If discovery is a service, the listener is
  * notified and the load balancer decides when to poll again; a local agent is called again after a short delay.
  * {@code CallTiming} contains the time limits, which follow from how soon a change must be applied.
  *
@@ -29,7 +30,7 @@
  *
  * <h2>Threading</h2>
  *
- * <p>Everything runs on the event loop, and the entry points assert it, except for two methods of the watcher that may
- * be called on any thread: {@code hasLocalAgent} and {@code firstCallFuture}.
+ * <p>Everything runs on the event loop, and the entry points assert it. Only the watcher's constructor, {@code
+ * hasLocalAgent} and {@code firstCallFuture} may be called on any thread.
  */
 package gaugegw.proxy.discovery;
