--- a/src/main/java/gaugegw/proxy/config/ConfigFileWatcher.java
+++ b/src/main/java/gaugegw/proxy/config/ConfigFileWatcher.java
@@ -15,9 +15,9 @@
  */
 public final class ConfigFileWatcher {
     /**
-     * Time between two polls, in milliseconds. When the file names a new discovery address, the old address closes its
-     * connections after 1.5 s, and after 4 s the proxy is required to apply endpoint changes. It has to read the new
-     * address well before either.
+     * Time between two polls, in milliseconds. When the file states a new address of discovery, the server at the old
+     * address closes its connections 1.5 s later, and from 4 s later on the proxy is required to apply endpoint
+     * changes. The proxy has to read the new address well before either.
      */
     public static final long POLL_INTERVAL_MS = 200;
 
@@ -26,17 +26,18 @@
         /** Called when the file contains a configuration that differs from the one in use. */
         void configChanged(ProxyConfig config);
 
-        /** Called when the file is missing or invalid, once for each such state of the file. */
+        /** Called when the file is missing or invalid; not called again until the file changes. */
         void configRejected(Exception reason);
     }
 
     private final Path file;
     private final Listener listener;
     private ProxyConfig current;
+    /** The state at the previous poll if the file was valid then, otherwise {@link FileState#NONE}. */
     private FileState lastValid = FileState.NONE;
-    /** The state in which the file was valid at two polls. While it has this state, it is not read again. */
+    /** The state in which the file was valid at two polls in a row. While it has this state, it is not read again. */
     private FileState confirmed = FileState.NONE;
-
+    /** The state for which the listener was last notified that the file is missing or invalid. */
     private FileState lastRejected = FileState.NONE;
 
     /**
@@ -70,11 +71,12 @@
     }
 
     /**
-     * Reads the file if its state has changed. A valid state is read at two polls, because a write within the same tick
-     * of the file system's clock can leave the state unchanged after the first read.
+     * Reads the file unless its state is {@link #confirmed}. A valid file is read at two polls in a row, because a
+     * write after the first read but within the same tick of the file system's clock can leave the state unchanged.
      */
     void poll() {
-        // Before the contents are read: if the file is replaced in between, the next poll finds another state.
+        // Get the state before reading the contents: if the file is replaced in between, the next poll finds another
+        // state.
         FileState state = FileState.of(file);
         if (state.equals(confirmed)) {
             return;
@@ -111,9 +113,10 @@
      * @param sizeBytes the size of the file; -1 if there is no readable file
      */
     private record FileState(Object key, FileTime modified, long sizeBytes) {
-        /** Stands for no state: differs from the state of every file, and from {@link #UNREADABLE}. */
+        /** Used where there is no state; not equal to the state of any file, nor to {@link #UNREADABLE}. */
         static final FileState NONE = noFile("none");
 
+        /** The state of a file that is missing or whose attributes can't be read. */
         private static final FileState UNREADABLE = noFile("unreadable");
 
         static FileState of(Path file) {
--- a/src/main/java/gaugegw/proxy/config/InvalidConfigException.java
+++ b/src/main/java/gaugegw/proxy/config/InvalidConfigException.java
@@ -3,13 +3,13 @@
 import java.io.IOException;
 
 /**
- * Thrown if a proxy can't run with a configuration. The message is a single line for operators and names the field at
- * fault.
+ * Thrown if a proxy can't run with a configuration. The message is a single line for operators and names the invalid
+ * field, unless the problem concerns the whole file.
  */
 public final class InvalidConfigException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Used for the field if the problem concerns the whole configuration, and for values that are not known. */
+    /** The value of {@link #field}, {@link #found} and {@link #expected} where there is none. */
     private static final String NONE = "";
 
     private final String field;
@@ -23,10 +23,10 @@
         this.expected = expected;
     }
 
-    /** Returns the exception for a missing environment variable, the one that names the configuration file. */
+    /** Returns the exception if the environment variable for the path of the configuration file is unset or empty. */
     public static InvalidConfigException variableNotSet(String variable) {
-        return withoutField(
-                "the environment variable " + variable + ", which names the configuration file, is not set");
+        return withoutField("the environment variable " + variable
+                + ", which must contain the path of the configuration file, is not set or empty");
     }
 
     /** Returns the exception for an address in {@code listen} on which the proxy can't listen. */
@@ -47,13 +47,16 @@
         return new InvalidConfigException("'" + field + "': missing or empty", field, NONE, NONE);
     }
 
-    /** Returns the exception for a text, such as an address, that can't be parsed. */
+    /** Returns the exception for a value that can't be parsed, such as an address; the message contains the value. */
     static InvalidConfigException malformed(String field, String found, String expected) {
         return new InvalidConfigException(
                 "'" + field + "': expected " + expected + ", found '" + found + "'", field, found, expected);
     }
 
-    /** Returns the exception for a value that is missing, of the wrong type or out of range. */
+    /**
+     * Returns the exception for a value that is missing, of the wrong type or out of range; the message does not
+     * contain the value.
+     */
     static InvalidConfigException invalidValue(String field, String found, String expected) {
         return new InvalidConfigException("'" + field + "': expected " + expected, field, found, expected);
     }
@@ -72,7 +75,7 @@
     }
 
     /**
-     * Returns the path of the field at fault, such as {@code limits.sockets}; empty if the problem concerns no field.
+     * Returns the path of the invalid field, such as {@code limits.sockets}; empty if the problem concerns no field.
      */
     public String field() {
         return field;
--- a/src/main/java/gaugegw/proxy/config/ProxyConfig.java
+++ b/src/main/java/gaugegw/proxy/config/ProxyConfig.java
@@ -15,7 +15,7 @@
  *
  * @param name the name of the proxy, which stays the same after a restart
  * @param listenAddress the address on which the proxy accepts clients
- * @param discoveryAddress the address of discovery
+ * @param discoveryAddress the address of the discovery service or of the local agent
  * @param descriptorLimit the number of file descriptors that the process may have open
  * @param cachedEndpoints the endpoint list that this proxy received last, in discovery's format; a {@link MissingNode}
  *     if there is none
@@ -59,8 +59,8 @@
 
     /**
      * Returns whether this seems to be the first start of the proxy: it has no cached endpoint list, or one of version
-     * 0, which discovery has never changed. At a restart clients already wait for the proxy, so it skips optional steps
-     * of its start.
+     * 0, which discovery has never changed. At a restart clients are already waiting for the proxy, so it skips its
+     * warm-up.
      */
     public boolean isFirstStart() {
         return cachedEndpoints.path("version").asLong() == 0;
--- a/src/main/java/gaugegw/proxy/config/ProxyConfigReader.java
+++ b/src/main/java/gaugegw/proxy/config/ProxyConfigReader.java
@@ -10,7 +10,7 @@
 
 /** Reads a {@link ProxyConfig} from JSON, and maps the field names of the file to those of the code. */
 final class ProxyConfigReader {
-    /** With fewer file descriptors, the Java runtime and discovery would leave too few for connections. */
+    /** With fewer file descriptors, too few would be left for connections besides the Java runtime and discovery. */
     private static final int MIN_DESCRIPTORS = 128;
 
     private static final int SEED_RADIX = 16;
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Returns the nested settings under their paths, such as {@code profiles.0.name}. */
+    /** Flattens the nested settings to a tree whose keys are paths, such as {@code profiles.0.name}. */
     private SettingsTree settingsTree() throws InvalidConfigException {
         JsonNode settings = json.path("settings");
         if (!settings.isObject()) {
