--- a/src/main/java/gaugegw/proxy/dispatch/AttemptStarter.java
+++ b/src/main/java/gaugegw/proxy/dispatch/AttemptStarter.java
@@ -11,9 +11,10 @@
 import java.util.Optional;
 
 /**
- * Starts and cancels attempts when the load balancer asks for it, and reports the end of each attempt to it once. An
- * attempt starts only if {@link Limits} permit it, the client still waits for its response and the endpoint accepts it.
- * Otherwise it ends at once with {@link AttemptOutcome#NOT_SENT}. Used on the event loop only.
+ * Starts and cancels attempts when the load balancer requests it, and reports the end of each attempt to the load
+ * balancer exactly once. An attempt starts only if the {@link Limits} permit it, the client still waits for its
+ * response and the endpoint accepts it. Otherwise it ends at once with {@link AttemptOutcome#NOT_SENT}. Used on the
+ * event loop only.
  */
 final class AttemptStarter {
     private final Clock clock;
@@ -52,15 +53,15 @@
 
     /**
      * Creates an attempt without starting it. Returns empty if the limits permit no further attempt, the client has
-     * disconnected, or the endpoint accepts none.
+     * disconnected, the endpoint is unknown or not ready, or no connection to it may be opened.
      */
     private Optional<UpstreamAttempt> newAttempt(DispatchedRequest request, int number, Action.StartAttempt action) {
         long timeoutUs = timeoutUs(request, action);
         if (!request.isOpen() || !isWithinLimits(request, number, timeoutUs)) {
             return Optional.empty();
         }
-        // The client may have closed its connection without the event loop having read that yet. An attempt would then
-        // be wasted work for the backend.
+        // The client may have closed its connection, and the event loop may not have read that yet. An attempt
+        // would then make the backend execute a request whose response nobody reads.
         request.detectDisconnect();
         if (!request.isOpen()) {
             return Optional.empty();
@@ -76,8 +77,8 @@
 
     /**
      * Returns the timeout of an attempt that starts now, in microseconds: the action's timeout, but at most the time
-     * left until the request's deadline. A timeout of 0 in the action stands for all the time left. Returns 0 or less
-     * once the deadline has passed.
+     * left until the request's deadline. A timeout of 0 in the action means all the time left. Returns 0 or less once
+     * the deadline has passed.
      */
     private long timeoutUs(DispatchedRequest request, Action.StartAttempt action) {
         long remainingUs = request.deadlineAtUs() - clock.nowUs();
@@ -92,6 +93,7 @@
         return number < limits.maxAttempts() && timeoutUs > 0 && (!request.hasAttemptInFlight() || limits.hedging());
     }
 
+    /** Cancels an attempt. Does nothing if it has already ended or the settings do not permit cancellation. */
     void cancel(Action.CancelAttempt action) {
         DispatchedRequest request = requests.find(action.requestId());
         if (request != null && limits.cancellation()) {
@@ -100,8 +102,8 @@
     }
 
     /**
-     * Responds to the client first, then reports the end of the attempt. Releases the response if the client no longer
-     * waits for one.
+     * Sends a successful response to the client, then reports the end of the attempt to the load balancer. Releases the
+     * response if the client no longer waits for one.
      */
     private void attemptEnded(
             DispatchedRequest request,
--- a/src/main/java/gaugegw/proxy/dispatch/DispatchedRequest.java
+++ b/src/main/java/gaugegw/proxy/dispatch/DispatchedRequest.java
@@ -9,17 +9,17 @@
 import java.util.function.Consumer;
 
 /**
- * A request and its attempts. A request ends with its response or when its client disconnects; it is kept until none of
- * its attempts is in flight any more. Used on the event loop only.
+ * A request and its attempts. A request ends with its response or when its client disconnects; it stays in the
+ * {@link RequestTable} until none of its attempts is in flight. Used on the event loop only.
  */
 final class DispatchedRequest {
     /** Whether the client still waits for its response. A request leaves {@link #OPEN} once and never returns to it. */
     private enum State {
         /** The client waits for its response. */
         OPEN,
-        /** The response has been handed to the {@link ResponseSink}. */
+        /** The response has been passed, or is just being passed, to the {@link ResponseSink}. */
         RESPONDED,
-        /** The client has disconnected before its response; none is sent. */
+        /** The client disconnected before a response was sent; none is sent any more. */
         CLIENT_DISCONNECTED
     }
 
@@ -106,7 +106,7 @@
     }
 
     /**
-     * Adds the next attempt, which is in flight from now on.
+     * Adds the next attempt. If it could start, it is in flight from now on.
      *
      * @param attempt empty if the attempt could not start; its number is not used again
      */
@@ -117,7 +117,7 @@
         }
     }
 
-    /** Counts down the attempts in flight; called once for each, at its end. */
+    /** Decrements the number of attempts in flight; called once for each attempt, when it ends. */
     void attemptEnded() {
         attemptsInFlight--;
     }
--- a/src/main/java/gaugegw/proxy/dispatch/EventQueue.java
+++ b/src/main/java/gaugegw/proxy/dispatch/EventQueue.java
@@ -13,8 +13,8 @@
 import java.util.function.Consumer;
 
 /**
- * Delivers events to the load balancer one at a time. The execution of an action may cause another event; that one
- * waits until all actions of the current event have been executed. Used on the event loop only.
+ * Delivers events to the load balancer one at a time. The execution of an action may cause another event, which is
+ * delivered after all actions of the current event have been executed. Used on the event loop only.
  */
 final class EventQueue {
     private final Clock clock;
@@ -33,8 +33,8 @@
      * Creates an empty queue.
      *
      * @param actionExecutor executes each action; called in the order in which the load balancer requested them
-     * @param failureHandler called with each event on which the load balancer has thrown an exception, before the
-     *     actions that it requested until then are executed
+     * @param failureHandler called with an event if the load balancer throws an exception while it handles the event;
+     *     the actions that the load balancer requested before the exception are executed afterwards
      */
     EventQueue(
             Clock clock,
@@ -76,8 +76,7 @@
             loadBalancer.handle(clock.nowUs(), event, actions::add);
         } catch (RuntimeException e) {
             log.writeException(
-                    "the load balancer threw an exception on " + event + "; failing the request it concerns, if any",
-                    e);
+                    "failing the request, if any, of " + event + " because the load balancer threw an exception", e);
             failureHandler.accept(event);
         }
         for (Action action : actions) {
@@ -91,7 +90,7 @@
             actionExecutor.accept(action);
         } catch (RuntimeException e) {
             // The other actions of the event are still executed.
-            log.writeException("could not execute the action " + action + "; continuing with the next one", e);
+            log.writeException("continuing with the next action because " + action + " could not be executed", e);
         }
     }
 }
--- a/src/main/java/gaugegw/proxy/dispatch/OverdueTimer.java
+++ b/src/main/java/gaugegw/proxy/dispatch/OverdueTimer.java
@@ -5,13 +5,13 @@
 import java.util.function.Consumer;
 
 /**
- * Guards against a load balancer that leaves a request without a response. Each request has a timer, which its end
- * cancels; if the timer fires, the handler responds to the client. Used on the event loop only.
+ * Ensures that a client gets a response even if the load balancer never responds. Each request has a timer, which is
+ * cancelled when the request ends; if the timer fires, the handler responds to the client. Used on the event loop only.
  */
 final class OverdueTimer {
     /**
-     * Time from the deadline of a request until its timer fires, in microseconds. It leaves the load balancer's own
-     * timers time to fire first.
+     * Time from the deadline of a request until its timer fires, in microseconds, so that the load balancer's own
+     * timers fire first.
      */
     private static final long OVERDUE_DELAY_US = 2_000;
 
--- a/src/main/java/gaugegw/proxy/dispatch/RequestDispatcher.java
+++ b/src/main/java/gaugegw/proxy/dispatch/RequestDispatcher.java
@@ -18,9 +18,11 @@
 
 /**
  * Connects the load balancer with the proxy's connections. It turns what happens to clients, attempts and the endpoint
- * list into events, and has the load balancer's actions executed. It makes no decisions of its own, with one exception:
- * it fails a request to which the load balancer has not responded by the deadline. All methods are called on the event
- * loop, except for {@link #openRequests} and {@link #setEndpointWatcher}.
+ * list into events, and executes the actions that the load balancer requests.
+ *
+ * <p>The load balancer decides how each request is handled. The dispatcher responds without it only if the deadline has
+ * passed, if the load balancer has thrown an exception, or if the process is about to end. All methods are called on
+ * the event loop, except for {@link #openRequests} and {@link #setEndpointWatcher}.
  */
 public final class RequestDispatcher implements EndpointUpdateListener {
     private final Clock clock;
@@ -123,7 +125,8 @@
                 kind == UpdateKind.POLL_FAILED ? List.of() : upstream.applyUpdate(kind, listed);
         events.deliver(new Event.EndpointUpdate(
                 kind, listed.stream().map(ListedEndpoint::endpoint).toList()));
-        // After the event: when the load balancer retries these, it knows the new list and chooses other endpoints.
+        // Abort these after the event is delivered: when the load balancer retries them, it knows the new list and
+        // chooses other endpoints.
         unwritten.forEach(attempt -> attempt.abort(AttemptOutcome.NOT_SENT));
     }
 
@@ -136,8 +139,8 @@
 
     /**
      * Reports that the client no longer waits for a response, and aborts the attempts whose request has not been
-     * written completely. An attempt that has been written goes on unless the load balancer cancels it, which the
-     * settings may forbid.
+     * written completely. An attempt whose request has been written continues unless the load balancer cancels it,
+     * which the settings may forbid.
      */
     private void abandon(DispatchedRequest request) {
         events.deliver(new Event.ClientDisconnected(request.id()));
@@ -153,7 +156,7 @@
         actions.execute(action);
     }
 
-    /** Fails the request that the event concerned; the exception in the load balancer affects no other request. */
+    /** Fails the request of the event, if it has one; the load balancer's exception affects no other request. */
     private void loadBalancerFailed(Event event) {
         if (event instanceof Event.RequestArrived arrived) {
             requests.respondIfOpen(arrived.requestId(), ResponseSink::sendFailure);
--- a/src/main/java/gaugegw/proxy/dispatch/RequestTable.java
+++ b/src/main/java/gaugegw/proxy/dispatch/RequestTable.java
@@ -46,8 +46,7 @@
             request.respond(responder);
         } catch (RuntimeException e) {
             // Without any response the client would wait until it gives up.
-            log.writeException(
-                    "could not send the response to request " + request.id() + "; sending a failure instead", e);
+            log.writeException("failing request " + request.id() + " because its response could not be sent", e);
             request.sendFailureInstead();
         }
     }
--- a/src/main/java/gaugegw/proxy/dispatch/ResponseSink.java
+++ b/src/main/java/gaugegw/proxy/dispatch/ResponseSink.java
@@ -10,8 +10,8 @@
 public interface ResponseSink {
     /**
      * Checks whether the client has closed its connection, by reading what has arrived on it: while the event loop is
-     * busy, a close may have arrived without having been read. Reads nothing if that was done a moment ago. If the
-     * client has closed, {@link RequestDispatcher#clientDisconnected} is called before this returns.
+     * busy, a close may have arrived without having been read. Reads nothing if the connection was read recently. If
+     * the client has closed, {@link RequestDispatcher#clientDisconnected} is called before this returns.
      */
     void detectDisconnect();
 
--- a/src/main/java/gaugegw/proxy/dispatch/package-info.java
+++ b/src/main/java/gaugegw/proxy/dispatch/package-info.java
@@ -1,7 +1,6 @@
 /**
  * Connects the load balancer with the proxy's connections. {@link gaugegw.proxy.dispatch.RequestDispatcher} is the
- * entry point: it turns what happens into events, and has the actions executed that the load balancer requests in
- * return.
+ * entry point: it turns what happens into events, and executes the actions that the load balancer requests in response.
  *
  * <h2>How an event is handled</h2>
  *
@@ -25,13 +24,13 @@
  *   <li>{@code AttemptStarter} owns a response when the attempt ends. It passes the response to the
  *       {@link gaugegw.proxy.dispatch.ResponseSink}, which releases it, or releases it itself if no client waits for
  *       it.
- *   <li>{@code OverdueTimer} limits the time of a request, whatever the load balancer does.
+ *   <li>{@code OverdueTimer} starts the timer that ends a request if the load balancer never responds.
  * </ul>
  *
  * <h2>Threading</h2>
  *
  * <p>Everything runs on the event loop. There are no locks and no volatile fields; the entry points assert that they
  * are called there. The constructor and {@code setEndpointWatcher} of the dispatcher may be called on the thread that
- * starts the proxy, before the first event.
+ * starts the proxy, before the first event, and {@code openRequests} on any thread.
  */
 package gaugegw.proxy.dispatch;
