--- a/src/main/java/gaugegw/proxy/http/FramingChecks.java
+++ b/src/main/java/gaugegw/proxy/http/FramingChecks.java
@@ -13,7 +13,7 @@
      * Returns the exception for a message with both Content-Length and Transfer-Encoding. RFC 9112, section 6.1: such a
      * message may be an attempt to smuggle a second message in the first.
      */
-    static IllegalArgumentException bothLengths() {
+    static IllegalArgumentException conflictingLengths() {
         return new IllegalArgumentException("message has both Content-Length and Transfer-Encoding");
     }
 
--- a/src/main/java/gaugegw/proxy/http/ProtocolHeaders.java
+++ b/src/main/java/gaugegw/proxy/http/ProtocolHeaders.java
@@ -30,10 +30,10 @@
     public static final String NOT_PROCESSED = "x-not-processed";
 
     /**
-     * Headers that are not forwarded: those that apply to a single connection (RFC 9110, section 7.6.1), and
-     * Content-Length, which each sender sets itself.
+     * Headers that are not forwarded: those that apply to a single connection (RFC 9110, section 7.6.1),
+     * Content-Length, which each sender sets itself, and Expect, to which the proxy itself responds.
      */
-    private static final Set<String> HOP_BY_HOP = Set.of(
+    private static final Set<String> NOT_FORWARDED = Set.of(
             "connection",
             "keep-alive",
             "proxy-connection",
@@ -48,13 +48,13 @@
 
     private ProtocolHeaders() {}
 
-    /** Copies a message's headers to another, except hop-by-hop headers and those that {@code Connection} names. */
+    /** Copies the headers of a message that are forwarded: not hop-by-hop, and not named by {@code Connection}. */
     public static void copyEndToEnd(HttpHeaders from, HttpHeaders to) {
         boolean hasConnection = from.contains(HttpHeaderNames.CONNECTION);
         for (Map.Entry<String, String> header : from) {
             String name = header.getKey();
             boolean namedByConnection = hasConnection && from.containsValue(HttpHeaderNames.CONNECTION, name, true);
-            if (!namedByConnection && !HOP_BY_HOP.contains(name.toLowerCase(Locale.ROOT))) {
+            if (!namedByConnection && !NOT_FORWARDED.contains(name.toLowerCase(Locale.ROOT))) {
                 to.add(name, header.getValue());
             }
         }
--- a/src/main/java/gaugegw/proxy/http/StrictRequestDecoder.java
+++ b/src/main/java/gaugegw/proxy/http/StrictRequestDecoder.java
@@ -8,7 +8,7 @@
 public final class StrictRequestDecoder extends HttpRequestDecoder {
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw FramingChecks.bothLengths();
+        throw FramingChecks.conflictingLengths();
     }
 
     @Override
--- a/src/main/java/gaugegw/proxy/http/StrictResponseDecoder.java
+++ b/src/main/java/gaugegw/proxy/http/StrictResponseDecoder.java
@@ -38,7 +38,7 @@
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw FramingChecks.bothLengths();
+        throw FramingChecks.conflictingLengths();
     }
 
     @Override
--- a/src/main/java/gaugegw/proxy/logging/RateLimitedLog.java
+++ b/src/main/java/gaugegw/proxy/logging/RateLimitedLog.java
@@ -13,7 +13,7 @@
     private static final int MAX_LINES_PER_SECOND = 20;
     private static final long NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
-    /** The second that the counters below refer to, on the scale of {@link System#nanoTime}. */
+    /** The second to which the counters below apply, in seconds of {@link System#nanoTime}. */
     private long second = Long.MIN_VALUE;
 
     /** The lines of this second, including those dropped. */
@@ -42,7 +42,8 @@
 
     private void startSecond(long newSecond) {
         if (droppedLines > 0) {
-            System.err.println("log rate limit exceeded: " + droppedLines + " lines dropped");
+            System.err.println("log rate limit of " + MAX_LINES_PER_SECOND + " lines per second exceeded: "
+                    + droppedLines + " lines dropped");
         }
         second = newSecond;
         linesThisSecond = 0;
--- a/src/main/java/gaugegw/proxy/transport/ConnectionLimiter.java
+++ b/src/main/java/gaugegw/proxy/transport/ConnectionLimiter.java
@@ -5,11 +5,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Limits the number of open connections of clients and to backends to the {@link DescriptorBudget}, so that the process
- * does not exceed its limit on file descriptors and a call to discovery always gets one. When client connections come
- * near their limit, they are closed with their responses. When a limit is exceeded, idle connections are evicted, that
- * is, closed. While evictions do not suffice, no connections are accepted, and new clients wait in the backlog of the
- * listening socket.
+ * Limits the number of open client and backend connections to the {@link DescriptorBudget}, so that the process does
+ * not exceed its limit on file descriptors and a call to discovery always gets one. When the number of client
+ * connections comes near its limit, each is closed after its next response. When a limit is exceeded, idle connections
+ * are evicted, that is, closed. While that is not enough, no connections are accepted, and new clients wait in the
+ * backlog of the listening socket.
  *
  * <p>All methods except {@link #setListeningChannel} are called on the event loop. A connection counts from when it is
  * opened until its descriptor is released. Its handlers report here whether it is busy or idle; only an idle connection
@@ -18,7 +18,7 @@
 public final class ConnectionLimiter {
     /** A new client is not evicted for this long, as its first request may be on the way and would fail. */
     private static final long FIRST_REQUEST_GRACE_NS = TimeUnit.MILLISECONDS.toNanos(20);
-    /** Above this percentage of the limit for clients, their connections are closed with their responses. */
+    /** Above this percentage of the limit on client connections, each is closed after its next response. */
     private static final int NEAR_CLIENT_LIMIT_PERCENT = 75;
 
     private final EventLoop loop;
@@ -83,8 +83,9 @@
     }
 
     /**
-     * Returns whether connections of clients should be closed with their responses, because there are almost too many.
-     * Unlike an eviction, a close that a response announces can't cross the client's next request.
+     * Returns whether client connections should be closed after their next response, because there are almost too many.
+     * A response announces that close, so the client sends no further request on the connection. An eviction is not
+     * announced, and may close a connection on which a request is on the way.
      */
     public boolean isNearClientLimit() {
         return clients > budget.maxClients() * NEAR_CLIENT_LIMIT_PERCENT / 100;
@@ -142,7 +143,7 @@
         updateAccepting();
     }
 
-    /** Returns the number of descriptors that connections hold, including closed connections. */
+    /** Returns the number of descriptors that connections hold, including closed ones that are not released yet. */
     private int heldDescriptors() {
         return clients + backends + closedUnreleased;
     }
@@ -170,8 +171,8 @@
     }
 
     /**
-     * Evicts connections until the limits are kept or none may be evicted. If there are new clients left then, tries
-     * again when they may be evicted too.
+     * Evicts connections until the limits are met or no further connection may be evicted. If there are new clients
+     * left then, tries again when they may be evicted too.
      */
     private void evictDownToBudget() {
         evictionScheduled = false;
--- a/src/main/java/gaugegw/proxy/transport/SocketTransport.java
+++ b/src/main/java/gaugegw/proxy/transport/SocketTransport.java
@@ -29,6 +29,7 @@
      */
     static final int MAX_ACCEPTS_PER_ITERATION = 32;
 
+    /** Maximum number of reads from one client's socket in one iteration of the event loop. */
     private static final int MAX_READS_PER_ITERATION = 16;
 
     /** Number of new connections that the kernel queues, for example while accepting is paused. */
@@ -65,7 +66,7 @@
                 .option(
                         ChannelOption.RECVBUF_ALLOCATOR,
                         new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(MAX_ACCEPTS_PER_ITERATION))
-                // Read all that has been received, as only that shows whether the client has disconnected.
+                // Read until nothing is left, up to the maximum: a close by the client shows only after its last byte.
                 .childOption(
                         ChannelOption.RECVBUF_ALLOCATOR,
                         new AdaptiveRecvByteBufAllocator()
--- a/src/main/java/gaugegw/proxy/transport/Transport.java
+++ b/src/main/java/gaugegw/proxy/transport/Transport.java
@@ -49,9 +49,9 @@
     SocketAddress toSocketAddress(InetSocketAddress address);
 
     /**
-     * Returns whether a connection on which nothing is expected has indeed received nothing, neither bytes nor a close,
-     * that the event loop has not read yet. If this returns false, a byte may have been consumed, and the caller must
-     * close the connection.
+     * Returns whether the socket of a connection holds nothing that the event loop has not read yet: neither bytes, nor
+     * a close or a reset. Called for idle connections, which are not expected to receive anything. If this returns
+     * false, a byte may have been consumed, and the caller must close the connection.
      */
     boolean hasNothingToRead(Channel channel);
 }
--- a/src/main/java/gaugegw/proxy/upstream/AttemptListener.java
+++ b/src/main/java/gaugegw/proxy/upstream/AttemptListener.java
@@ -2,7 +2,7 @@
 
 import gaugegw.balancer.api.AttemptOutcome;
 
-/** Is notified of the outcome of an attempt, on the event loop. */
+/** Notified of the outcome of an attempt, on the event loop. */
 public interface AttemptListener {
     /**
      * Called exactly once, when the attempt has ended.
--- a/src/main/java/gaugegw/proxy/upstream/LearnedIdleLimit.java
+++ b/src/main/java/gaugegw/proxy/upstream/LearnedIdleLimit.java
@@ -17,7 +17,7 @@
     private static final double SCALE_START_US = 1_000;
     /**
      * A bucket's idle times are avoided if its reset rate exceeds {@code MAX_RESET_RATE_MULTIPLE} times the reset rate
-     * after shorter idle times plus {@link #MAX_RESET_RATE_INCREASE}. A smaller multiple may be chance.
+     * after shorter idle times plus {@link #MAX_RESET_RATE_INCREASE}. A smaller excess may be due to chance.
      */
     private static final double MAX_RESET_RATE_MULTIPLE = 2;
     /** An additional reset rate that is accepted, because so few resets cost less than opening new connections. */
@@ -70,7 +70,10 @@
         }
     }
 
-    /** Returns the first bucket whose reset rate is too high, or {@link #BUCKET_COUNT} if there is none. */
+    /**
+     * Returns the first bucket whose reset rate is too high, or {@link #BUCKET_COUNT} if there is none. Never returns
+     * bucket 0: there are no shorter idle times to compare it with.
+     */
     private int firstUnreliableBucket() {
         double shorterRequests = 0;
         double shorterResets = 0;
--- a/src/main/java/gaugegw/proxy/upstream/ResponseClassifier.java
+++ b/src/main/java/gaugegw/proxy/upstream/ResponseClassifier.java
@@ -22,8 +22,8 @@
     }
 
     /**
-     * Returns whether a response was decoded without an error and can be the response to the request, which it cannot
-     * be if it was received before the last byte of the request had been written.
+     * Returns whether a response was decoded without an error and can belong to the request. A response that was
+     * received before the last byte of the request had been written can't.
      */
     static boolean isValid(HttpResponse response, boolean requestWritten) {
         return response.decoderResult().isSuccess() && requestWritten;
@@ -31,7 +31,8 @@
 
     /**
      * Returns the outcome of the attempt that received a response. {@link AttemptOutcome#REJECTED} proves that the
-     * backend did not execute the request, so it is returned only if the backend says so.
+     * backend did not execute the request, so it is returned only for a 503 or 504 response with {@link
+     * ProtocolHeaders#NOT_PROCESSED}.
      *
      * @param valid the result of {@link #isValid}
      */
--- a/src/main/java/gaugegw/proxy/upstream/StallDetector.java
+++ b/src/main/java/gaugegw/proxy/upstream/StallDetector.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Detects a response that stops arriving before it is complete. Backends write a response in one go, so a response that
+ * Detects a response that stops arriving before it is complete. Backends write a response in one piece, so one that
  * stops has a wrong length or lacks its end. Without this check the attempt would end only at its timeout, too late for
  * a retry. Used on the event loop only.
  */
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamAttempt.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamAttempt.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One attempt to have a request served by one backend, from acquiring a connection to the outcome. It is started once,
- * ends once, and then reports its outcome to its {@link AttemptListener}. Used on the event loop only.
+ * One attempt to send a request to one backend, from acquiring a connection to the outcome. It is started once, ends
+ * once, and then reports its outcome to its {@link AttemptListener}. Used on the event loop only.
  */
 public final class UpstreamAttempt {
     private enum State {
@@ -41,7 +41,7 @@
     private final AttemptListener listener;
     private State state = State.CREATED;
     /**
-     * Whether the complete request has been written. Kept apart from the state because it is still needed after the
+     * Whether the complete request has been written. Not part of the state, because it is still needed after the
      * attempt has ended: the decoder may deliver a response while the connection is being closed.
      */
     private boolean requestWritten;
@@ -122,8 +122,8 @@
     }
 
     /**
-     * Ends the attempt at its timeout. If the request was not written completely, the outcome is one that proves that
-     * it was not executed; otherwise it may have been.
+     * Ends the attempt at its timeout. If the request was not written completely, the outcome is {@link
+     * AttemptOutcome#CONNECT_FAILED}, which proves that the request was not executed; otherwise it may have been.
      */
     private void timeOut() {
         abort(requestWritten ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED);
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamClient.java
@@ -23,12 +23,16 @@
 public final class UpstreamClient {
     /**
      * The proxy closes a connection that has been idle for this percentage of the backend's idle timeout. It must do so
-     * well before the backend does: a request that crosses the backend's close is reset and may have been executed.
+     * well before the backend does: a request that is sent while the backend closes the connection is reset, and the
+     * proxy can't tell whether it was executed.
      */
     private static final int IDLE_TIMEOUT_PERCENT = 60;
 
     private final UpstreamContext context;
-    /** The endpoints by id. An endpoint that is no longer ready is kept at least until its attempts have ended. */
+    /**
+     * The endpoints by id. An endpoint that is no longer ready is removed by the first update at which it has no
+     * attempts in flight; one whose address has changed is replaced at once.
+     */
     private final Map<String, UpstreamEndpoint> endpoints = new HashMap<>();
 
     /**
@@ -79,7 +83,8 @@
 
     /**
      * Returns the endpoint for an entry of the list and creates it if it is new. If its address has changed, a new
-     * endpoint replaces the old one, which accepts no new attempts.
+     * endpoint replaces the old one: the old one accepts no new attempts, its idle connections are closed, and its
+     * unwritten attempts are added to the list.
      */
     private UpstreamEndpoint endpointFor(ListedEndpoint entry, List<UpstreamAttempt> unwritten) {
         String id = entry.endpoint().id();
@@ -108,7 +113,10 @@
         });
     }
 
-    /** Closes the idle connections of endpoints that are not ready, and removes those without attempts in flight. */
+    /**
+     * Closes the idle connections to endpoints that are not ready, adds their unwritten attempts to the list, and
+     * removes the endpoints without attempts in flight.
+     */
     private void removeNotReady(List<UpstreamAttempt> unwritten) {
         endpoints.values().removeIf(endpoint -> {
             if (endpoint.isReady()) {
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamConnectionHandler.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamConnectionHandler.java
@@ -22,7 +22,7 @@
     private static final long MAX_RESPONSE_BYTES = 2 * HttpLimits.MAX_BODY_BYTES;
     /**
      * Minimum time between a response and the reuse of its connection, in microseconds. If a faulty backend writes a
-     * second response directly after the first, it has been received by then.
+     * second response directly after the first, the second one has been received by then, and the connection is closed.
      */
     private static final long REUSE_DELAY_US = 10_000;
 
@@ -113,7 +113,7 @@
         }
     }
 
-    /** Ends the attempt with the outcome that its response stands for, and pools or closes the connection. */
+    /** Returns the connection to the pool or closes it, and ends the attempt with the outcome of its response. */
     private void completeAttempt() {
         FullHttpResponse received = response;
         UpstreamAttempt completed = attempt;
@@ -124,7 +124,8 @@
         boolean valid = ResponseClassifier.isValid(received, completed.isRequestWritten());
         boolean reusable = valid && !receivedUnexpectedResponse && !decoder.hasUndecodedBytes();
         decoder.resetReceivedBytes();
-        // Before calling the listener: if it starts a retry, the limit may not allow another connection for that.
+        // Release the connection before calling the listener: if the listener starts a retry, the limit may not allow
+        // another connection for it.
         releaseOrClose(reusable && HttpUtil.isKeepAlive(received));
         AttemptOutcome outcome = ResponseClassifier.classify(received, valid);
         if (outcome == AttemptOutcome.SUCCESS) {
@@ -190,7 +191,7 @@
         }
         UpstreamAttempt failed = attempt;
         attempt = null;
-        // If the attempt has already ended, the proxy closed the connection, and that is no reset by the backend.
+        // If the attempt has already ended, the proxy itself has closed the connection: the backend did not reset it.
         if (!failed.isEnded()) {
             context.idleLimit().record(idleBeforeAttemptUs, decoder.receivedBytes() == 0);
         }
@@ -212,8 +213,8 @@
             return;
         }
         ctx.close();
-        // Fail the attempt now, not when the channel becomes inactive: when the connection closes, the decoder takes a
-        // response without a length for complete, and the client would get a truncated response after a reset.
+        // Fail the attempt now, not when the channel becomes inactive: when the connection closes, the decoder treats a
+        // response without a length as complete, so the client would get a truncated response after a reset.
         failBrokenConnection();
     }
 }
--- a/src/main/java/gaugegw/proxy/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/gaugegw/proxy/upstream/UpstreamConnectionPool.java
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Reserves an idle connection for an attempt that is started in the current task of the event loop, and closes the
-     * connections that have been idle for too long to be reused.
+     * Reserves an idle connection for an attempt that is started in the current task of the event loop. First closes
+     * the connections that have been idle for longer than {@link LearnedIdleLimit} allows.
      *
      * @return whether a connection was reserved; if not, the attempt needs a new connection
      */
@@ -91,8 +91,8 @@
     }
 
     /**
-     * Returns the reusable connection that became idle last, or null if there is none. Closes connections on the way
-     * that have received something while idle.
+     * Returns the reusable connection that became idle last, or null if there is none. Closes the
+     * connections that it checks before that one and that have received something while idle.
      */
     private UpstreamConnectionHandler latestUsable(long nowUs) {
         Iterator<UpstreamConnectionHandler> latestFirst = idle.descendingIterator();
