--- a/src/test/java/gaugegw/proxy/config/ConfigFileWatcherTest.java
+++ b/src/test/java/gaugegw/proxy/config/ConfigFileWatcherTest.java
@@ -71,9 +71,9 @@
     }
 
     /**
-     * The file is written twice within one tick of the file system's clock, with contents of the same size, and a poll
-     * falls in between. Neither the size nor the modification time shows the second write, but the next poll has to
-     * read it.
+     * The file is written twice within one tick of the file system's clock, with contents of the same size, and polled
+     * in between. Neither the size nor the modification time shows the second write, but the next poll has to read the
+     * file again.
      */
     @Test
     void appliesAWriteThatLeavesSizeAndModificationTimeUnchanged() throws Exception {
--- a/src/test/java/gaugegw/proxy/discovery/DiscoveryCallFailureTest.java
+++ b/src/test/java/gaugegw/proxy/discovery/DiscoveryCallFailureTest.java
@@ -62,7 +62,7 @@
     }
 
     /**
-     * Discovery becomes unreachable while a connection to it is open, which TCP does not report. The call fails by its
+     * Discovery becomes unreachable while a connection to it is open, which TCP does not report. The call fails at its
      * timeout, and its connection is closed.
      */
     @Test
@@ -99,7 +99,7 @@
 
     /**
      * Discovery accepts a call without a hold and sends no response, or only the beginning of one. The call fails 1.2 s
-     * after its start.
+     * after its start. The timer starts with the call and fires after 1.7 s.
      */
     @ParameterizedTest
     @ValueSource(strings = {"", STALLED_RESPONSE})
@@ -118,7 +118,8 @@
 
     /**
      * Discovery begins its response to a held call and then stalls. The call has to fail soon after that, and not only
-     * at the end of its hold of at least 15 s: the proxy would miss the update in the response for that long.
+     * at the end of its hold of at least 15 s, or the proxy would lack the update for that long. The timer fires 6 s
+     * after the start of the call.
      */
     @Test
     void aStalledResponseTimesOutBeforeTheEndOfTheHold() throws Exception {
@@ -134,8 +135,7 @@
     }
 
     /**
-     * No file descriptor is left for a call, so that no channel can be created. The call fails like any other, and is
-     * retried.
+     * No file descriptor is left for a call, so that no channel can be created. The call fails, and is retried.
      */
     @Test
     void aCallWithoutADescriptorIsRetried() throws Exception {
--- a/src/test/java/gaugegw/proxy/discovery/LocalAgentTest.java
+++ b/src/test/java/gaugegw/proxy/discovery/LocalAgentTest.java
@@ -19,8 +19,7 @@
 class LocalAgentTest {
     /**
      * A local agent does not respond to five calls. Its changes must be applied within 1 s after it can be reached: two
-     * failing calls and the delay after each take no longer than that, or 0.15 s more with the first call of the
-     * process.
+     * failing calls and the delay after each take 1 s, or 1.15 s if one of them is the first call of the process.
      */
     @Test
     void retriesALocalAgentInTimeAfterFailedCalls() throws Exception {
@@ -61,7 +60,8 @@
 
     /**
      * A proxy restarts while its local agent has an update that must already be applied. No client may connect before
-     * the response of the agent has been applied: its requests would be forwarded according to the cached list.
+     * the response of the agent has been applied: the client's requests would be forwarded according to the
+     * cached list.
      */
     @Test
     void acceptsNoClientBeforeTheFirstResponseOfALocalAgent() throws Exception {
--- a/src/test/java/gaugegw/proxy/transport/ConnectionLimiterTest.java
+++ b/src/test/java/gaugegw/proxy/transport/ConnectionLimiterTest.java
@@ -14,14 +14,17 @@
     /** The minimum number of descriptors that must be left for the runtime and for calls to discovery. */
     private static final int RESERVED_DESCRIPTORS = 24;
 
-    /** Provides the limiter's event loop. The loop of {@link #listener} won't do: it runs when that begins to read. */
+    /**
+     * Provides the limiter's event loop. It is not the loop of {@link #listener}, because that one runs its tasks as
+     * soon as the listener begins to read.
+     */
     private final EmbeddedChannel loop = new EmbeddedChannel();
 
     private final EmbeddedChannel listener = new EmbeddedChannel();
     private final ConnectionLimiter limiter = new ConnectionLimiter(loop.eventLoop(), DESCRIPTOR_LIMIT);
     private final List<Channel> clients = new ArrayList<>();
 
-    /** Connects clients until accepting is paused; that many are accepted in each iteration of the event loop. */
+    /** Connects clients until accepting is paused, {@code perIteration} in each iteration of the event loop. */
     private void connectClients(int perIteration) {
         limiter.setListeningChannel(listener);
         while (listener.config().isAutoRead()) {
--- a/src/test/java/gaugegw/proxy/upstream/UpstreamConnectionReuseTest.java
+++ b/src/test/java/gaugegw/proxy/upstream/UpstreamConnectionReuseTest.java
@@ -116,9 +116,9 @@
     }
 
     /**
-     * Interim responses or a load report that can't be parsed are no reason to close a connection: it must be reused
-     * for the next attempt. It must be closed as soon as bytes arrive that no attempt waits for, even if they are less
-     * than a line.
+     * A response is preceded by interim responses or has a header that the proxy does not know. The connection must be
+     * reused for the next attempt. It must be closed as soon as bytes arrive that no attempt waits for, even if they
+     * are less than a line.
      */
     @ParameterizedTest
     @ValueSource(
