--- a/src/main/java/gaugegw/proxy/client/ClientConnection.java
+++ b/src/main/java/gaugegw/proxy/client/ClientConnection.java
@@ -17,8 +17,9 @@
 
 /**
  * A client's connection: reads its requests, handles them one at a time in the order in which they arrive, and enforces
- * the time limits. Its {@link ClosingSequence} closes it. This is the first handler in the pipeline of its channel and
- * adds the others. Used on the event loop only.
+ * the time limits. Its {@link ClosingSequence} closes it after the last response; an idle or lingering connection that
+ * exceeds a limit is closed directly. This is the first handler in the pipeline of its channel and adds the others.
+ * Used on the event loop only.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
     /**
@@ -33,16 +34,16 @@
      */
     private static final long REQUEST_TIMEOUT_US = 2_200_000;
     /**
-     * Time from the end of an exchange, in microseconds, within which the client must read enough for its responses to
-     * be written to the socket. Otherwise it is assumed to be gone, and the connection is closed.
+     * Time from the end of an exchange, in microseconds, after which the connection is closed if responses are still
+     * waiting to be written to the socket. The client has then stopped reading and is assumed to be gone.
      */
     private static final long WRITE_TIMEOUT_US = 10_000_000;
-    /** Maximum time for which a connection is still read after its last response was written, in microseconds. */
+    /** Maximum time from the shutdown of the proxy's output to the close of the connection, in microseconds. */
     private static final long LINGER_TIMEOUT_US = 1_000_000;
     /**
-     * Maximum time for which a graceful shutdown waits for a lingering connection, in microseconds. A client that has
-     * read its last response has closed the connection by then: this is one round trip, with the 50 ms in each
-     * direction that the protocol allows on every time limit.
+     * Maximum time for which a graceful shutdown waits for a lingering connection, in microseconds. It is one round
+     * trip, with the 50 ms in each direction that the protocol allows on every time limit: a client that reads its last
+     * response at once has closed the connection by then.
      */
     private static final long SHUTDOWN_LINGER_TIMEOUT_US = 100_000;
     /**
@@ -108,7 +109,7 @@
         if (closing.isLingering()) {
             channel.close();
         } else if (!closing.hasClientOutputEnded()) {
-            // The client's close would stay unread behind these bytes. A client that sends so many of them does not
+            // A close by the client can be read only after all these bytes. A client that sends this many does not
             // wait for its response, so it is handled as if it had ended its output.
             clientOutputEnded();
         }
@@ -122,7 +123,7 @@
 
     /**
      * Detects a client's close that has been received but not read yet, because the event loop was busy: reads the
-     * channel, unless it was read recently. One read takes a limited number of bytes; a close that follows more bytes
+     * channel, unless it was read recently. The size of one read is limited; a close that follows more unread bytes
      * than that is not detected.
      */
     void detectDisconnect() {
@@ -136,7 +137,10 @@
         }
     }
 
-    /** Takes ownership of a complete request and handles it. */
+    /**
+     * Takes ownership of a complete request, and begins an exchange for it or, during another exchange, queues it. A
+     * request that could not be decoded is rejected. Drops the request if the connection is being closed.
+     */
     void requestReceived(FullHttpRequest request) {
         if (!closing.isOpen() || !channel.isActive()) {
             request.release();
@@ -151,7 +155,7 @@
         if (exchange == null) {
             context.limiter().clientBusy(channel);
             exchange = next;
-            // Begins in a later task: by then all received bytes have been read, and with them a close by the client.
+            // In a later task, so that a close that the client has sent after the request is read first.
             channel.eventLoop().execute(next::begin);
         } else {
             pipelinedRequests.add(next);
@@ -173,7 +177,10 @@
         return pipelinedRequests.isEmpty() && !closing.hasFinalError();
     }
 
-    /** Writes the response to the current exchange and begins the next exchange, or closes the connection. */
+    /**
+     * Writes the response to the current exchange. Then closes the connection, begins the next exchange, sends the
+     * pending rejections, or marks the connection as idle.
+     */
     void finishExchange(FullHttpResponse response, boolean keepAlive) {
         assert channel.eventLoop().inEventLoop();
         ChannelFuture written = channel.writeAndFlush(response);
@@ -189,7 +196,7 @@
         } else if (closing.hasFinalError()) {
             closing.sendFinalError();
         } else {
-            // Only once the response is written: an idle connection may be evicted, which would cut the response off.
+            // Only once the response is written: an idle connection may be evicted, which would truncate the response.
             written.addListener(f -> markIdle());
         }
     }
@@ -201,8 +208,8 @@
     }
 
     /**
-     * Rejects each request in the overflow with status 429, in order. The connection is closed after the
-     * final error or, where there is none, after the last of these responses.
+     * Rejects each request in the overflow with status 429, in order, and closes the connection after the final error.
+     * If there is no final error yet, the last of these responses is the final error.
      */
     private void rejectOverflow() {
         if (!closing.hasFinalError()) {
@@ -235,8 +242,8 @@
     }
 
     /**
-     * Rejects input that is not a valid request, and closes the connection. The error is sent after the responses to
-     * the requests before it; no further input is decoded.
+     * Rejects a request that is malformed, invalid or not complete in time, and closes the connection. The error is
+     * sent after the responses to the requests before it; no further input is decoded.
      */
     void rejectAndClose(FullHttpResponse error) {
         if (!closing.isOpen()) {
@@ -244,7 +251,7 @@
             return;
         }
         closing.deferFinalError(error);
-        // From here on nothing is decoded, neither the bytes that the decoder has buffered nor those still to come.
+        // Without the decoder, the bytes that it has buffered are dropped; channelRead drops those that arrive later.
         channel.pipeline().remove(decoder);
         if (exchange == null) {
             closing.sendFinalError();
@@ -267,7 +274,8 @@
 
     /**
      * Handles the end of the client's output. The client has probably gone, so no more work is done for it. But it may
-     * have shut down its output only and still read, so each request that it has sent completely gets a response.
+     * have shut down only its output and may still be reading, so each request that it has sent completely gets a
+     * response.
      */
     private void clientOutputEnded() {
         closing.setClientOutputEnded();
@@ -297,7 +305,10 @@
 
     // Time limits
 
-    /** Closes the connection if there is no exchange and no part of a request has been received. */
+    /**
+     * Closes the connection, after its pending writes, if there is no exchange and no incomplete request. Does nothing
+     * if the connection is already being closed.
+     */
     void closeIfIdle() {
         if (exchange == null && !arrival.isIncomplete() && !closing.isClosing()) {
             closing.closeAfterPendingWrites();
@@ -305,8 +316,8 @@
     }
 
     /**
-     * Closes the connection, or rejects its incomplete request, if it has exceeded a time limit. No limit applies
-     * during an exchange.
+     * Closes the connection, or rejects its incomplete request, if it has exceeded a time limit. These limits do not
+     * apply during an exchange, which the dispatcher ends at the deadline of the request.
      */
     void enforceTimeLimits(long nowUs) {
         if (exchange != null) {
@@ -329,7 +340,10 @@
         }
     }
 
-    /** Rejects a request that is not complete in time. A client can't extend the limit by sending single bytes. */
+    /**
+     * Rejects a request that is not complete in time. The time counts from the first byte or the connect, so a client
+     * can't extend it by sending single bytes.
+     */
     private void enforceRequestTimeout(long nowUs) {
         long sinceUs = hasResponded ? arrival.firstByteAtUs() : idleSinceUs;
         if (nowUs - sinceUs > REQUEST_TIMEOUT_US) {
--- a/src/main/java/gaugegw/proxy/client/ClientExchange.java
+++ b/src/main/java/gaugegw/proxy/client/ClientExchange.java
@@ -15,8 +15,8 @@
 import java.util.Locale;
 
 /**
- * A complete request and its one response. The exchange owns the request, and releases it when it responds or when the
- * client has disconnected. Used on the event loop only.
+ * A complete request and its one response. The exchange owns the request, and releases it when it responds, when the
+ * client has disconnected, or when the exchange is dropped before it has begun. Used on the event loop only.
  */
 final class ClientExchange implements ResponseSink {
     private static final String READINESS_PATH = "/ready";
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Dispatches the request, or responds to it at once if it is not to be dispatched. Does nothing if the client has
-     * disconnected meanwhile.
+     * Dispatches the request. Responds to it directly if it is a readiness check, if it is invalid or if the client has
+     * ended its output. Does nothing if the client has disconnected.
      */
     void begin() {
         if (!connection.isCurrent(this) || !connection.isActive()) {
@@ -136,8 +136,8 @@
     }
 
     /**
-     * Handles the end of the client's output. The client may have gone, but it may also still read: a dispatched
-     * request is answered with a failure, and a request that has not been dispatched is rejected when it begins.
+     * Handles the end of the client's output. The client may have gone or may still be reading: a dispatched request is
+     * answered with a failure, and a request that has not been dispatched is rejected when its exchange begins.
      */
     void clientOutputEnded() {
         if (requestId != null) {
--- a/src/main/java/gaugegw/proxy/client/ClientRequestParser.java
+++ b/src/main/java/gaugegw/proxy/client/ClientRequestParser.java
@@ -27,14 +27,15 @@
     /** A number and its unit: {@code m} for milliseconds, {@code u} for microseconds. */
     private static final Pattern TIMEOUT_FORMAT = Pattern.compile("(\\d{1,8})([mu])");
     /**
-     * Time subtracted from a client's timeout, in microseconds: the response needs it to reach the client, and the
-     * proxy may itself be delayed.
+     * Maximum time by which the proxy's deadline is before the end of the client's timeout, in microseconds. The
+     * response needs this time to reach the client, and the proxy may itself be delayed.
      */
-    private static final long RESPONSE_MARGIN_US = 8_000;
+    private static final long MAX_RESPONSE_MARGIN_US = 8_000;
     /**
-     * The margin is at most a client's timeout divided by this, so that a request with a short timeout is still served.
+     * The margin is at most the client's timeout divided by this, so that a request with a short timeout is still
+     * served.
      */
-    private static final long MAX_MARGIN_DIVISOR = 10;
+    private static final long RESPONSE_MARGIN_DIVISOR = 10;
 
     private final Map<String, Idempotency> idempotencyByClass = new HashMap<>();
     private final Set<String> tenants = new HashSet<>();
@@ -55,7 +56,7 @@
      * Validates and parses a request.
      *
      * @param request the complete request; the result refers to its body without retaining it
-     * @param uri the decoded target of the request
+     * @param uri the decoder of the request's target
      * @param firstByteAtUs when the first byte of the request was received, on the proxy's clock
      * @throws InvalidRequestException if the request can't be forwarded
      * @throws IllegalArgumentException if the target is malformed
@@ -65,7 +66,7 @@
         requireApiPath(uri);
         HttpHeaders headers = request.headers();
         String requestClass = requireHeader(headers, ProtocolHeaders.REQUEST_CLASS);
-        requireMethod(request, requestClass);
+        checkRequestClass(request, requestClass);
         String tenant = tenant(headers);
         String requestId = requireHeader(headers, ProtocolHeaders.REQUEST_ID);
         if (isInFlight.test(requestId)) {
@@ -92,10 +93,10 @@
     }
 
     /**
-     * Checks that the method is the one that the request class requires, GET for idempotent requests and POST for all
-     * others, and that a request whose class needs an idempotency key has one.
+     * Checks that the settings contain the request class, that the request has the method that its class requires, GET
+     * if the class is idempotent and POST otherwise, and that it has an idempotency key if its class needs one.
      */
-    private void requireMethod(FullHttpRequest request, String requestClass) throws InvalidRequestException {
+    private void checkRequestClass(FullHttpRequest request, String requestClass) throws InvalidRequestException {
         Idempotency idempotency = idempotencyByClass.get(requestClass);
         if (idempotency == null) {
             throw badRequest("unknown " + ProtocolHeaders.REQUEST_CLASS);
@@ -140,7 +141,7 @@
     }
 
     private static long responseMarginUs(long timeoutUs) {
-        return Math.min(RESPONSE_MARGIN_US, timeoutUs / MAX_MARGIN_DIVISOR);
+        return Math.min(MAX_RESPONSE_MARGIN_US, timeoutUs / RESPONSE_MARGIN_DIVISOR);
     }
 
     private static InvalidRequestException badRequest(String message) {
--- a/src/main/java/gaugegw/proxy/client/ClosingSequence.java
+++ b/src/main/java/gaugegw/proxy/client/ClosingSequence.java
@@ -32,9 +32,9 @@
     }
 
     /**
-     * Limit on the bytes read from a client that belong to no request that will be served. A client that reaches it is
-     * handled as if it had ended its output, as its close would stay unread behind these bytes; a lingering connection
-     * that reaches it is closed.
+     * Maximum number of bytes read from a client that belong to no request that will be served. A client that reaches
+     * it is handled as if it had ended its output, because its close can be read only after these bytes. A lingering
+     * connection that reaches it is closed.
      */
     private static final long MAX_UNSERVED_BYTES = 256 * 1024;
 
@@ -43,13 +43,14 @@
     private final ConnectionLimiter limiter;
     private State state = State.OPEN;
     /**
-     * The final error, or null if there is none or it has been written. It may still be set in {@link State#CLOSING}
-     * and {@link State#LINGERING}: it is then released once the connection is closed.
+     * The final error, or null if there is none or it has been written. If the response to an earlier request already
+     * closes the connection, the error is never sent; it stays set in {@link State#CLOSING} and {@link State#LINGERING}
+     * and is released once the connection is closed.
      */
     private FullHttpResponse finalError;
     /**
      * Whether the client has shut down its output, or has sent so many bytes that it is handled as if it had. It may
-     * still read. Independent of the state.
+     * still be reading. Independent of the state.
      */
     private boolean clientOutputEnded;
 
@@ -118,7 +119,10 @@
         closeAfter(channel.writeAndFlush(Unpooled.EMPTY_BUFFER));
     }
 
-    /** Closes the connection after its last write. A connection that is already lingering continues to linger. */
+    /**
+     * Closes the connection once its last write has completed; lingers first if the client may still read. A connection
+     * that is already lingering stays in that state, with its time limit, until it is closed.
+     */
     void closeAfter(ChannelFuture lastWrite) {
         if (state != State.LINGERING) {
             state = State.CLOSING;
@@ -135,6 +139,7 @@
         }
     }
 
+    /** Shuts down the output and starts to linger. The limiter may evict the connection from now on. */
     private void linger(SocketChannel socket) {
         state = State.LINGERING;
         lingeringSinceUs = clock.nowUs();
--- a/src/main/java/gaugegw/proxy/client/DrainState.java
+++ b/src/main/java/gaugegw/proxy/client/DrainState.java
@@ -8,7 +8,11 @@
     private boolean notReadyReported;
     private boolean closingAfterResponses;
 
-    /** Creates the state of a proxy that is not shutting down and is ready whenever it can serve. */
+    /**
+     * Creates the state of a proxy that is not shutting down.
+     *
+     * @param canServe returns whether the proxy can serve requests
+     */
     DrainState(BooleanSupplier canServe) {
         this.canServe = canServe;
     }
@@ -18,6 +22,7 @@
         return canServe.getAsBoolean() && !notReadyReported;
     }
 
+    /** Makes readiness checks fail from now on. */
     void reportNotReady() {
         notReadyReported = true;
     }
@@ -27,6 +32,7 @@
         return closingAfterResponses;
     }
 
+    /** Sets that connections are closed after their next response. */
     void closeAfterResponses() {
         closingAfterResponses = true;
     }
--- a/src/main/java/gaugegw/proxy/client/Frontend.java
+++ b/src/main/java/gaugegw/proxy/client/Frontend.java
@@ -94,7 +94,10 @@
         }
     }
 
-    /** Closes each connection after its next response from now on, so that its client chooses another proxy. */
+    /**
+     * Closes each connection after its next response from now on, so that its client chooses another proxy. If more
+     * requests have already been received on the connection, it is closed after the last of their responses.
+     */
     public void closeAfterResponses() {
         context.drainState().closeAfterResponses();
     }
@@ -106,9 +109,9 @@
 
     /**
      * Returns the number of connections on which a client may still send a request, wait for a response or read one.
-     * May be called on any thread; on any other than the event loop the number may be out of date.
+     * May be called on any thread; outside the event loop the number may be out of date.
      */
     public int connectedClients() {
-        return context.connections().activeCount();
+        return context.connections().awaitedCount();
     }
 }
--- a/src/main/java/gaugegw/proxy/client/InvalidRequestException.java
+++ b/src/main/java/gaugegw/proxy/client/InvalidRequestException.java
@@ -8,7 +8,7 @@
 
     private final transient HttpResponseStatus status;
 
-    /** Creates an exception without a stack trace, because clients may cause any number of them. */
+    /** Creates an exception without a stack trace, because each invalid request of a client creates one. */
     InvalidRequestException(HttpResponseStatus status, String message) {
         super(message, null, false, false);
         this.status = status;
--- a/src/main/java/gaugegw/proxy/client/PipelinedRequests.java
+++ b/src/main/java/gaugegw/proxy/client/PipelinedRequests.java
@@ -4,9 +4,9 @@
 import java.util.Queue;
 
 /**
- * The complete requests that a client has sent before receiving the responses to its earlier ones. A few of them wait
- * to be served. The others, the overflow, are released and only counted, so that a client that never reads its
- * responses can't use up the memory. Used on the event loop only.
+ * The complete requests that a client has sent before receiving the responses to its earlier ones. Up to a fixed
+ * number of them wait to be served. The others, the overflow, are released and only counted, so that a client that
+ * never reads its responses can't exhaust the memory. Used on the event loop only.
  */
 final class PipelinedRequests {
     /**
@@ -18,7 +18,10 @@
     /** The number of requests in the overflow. Each of them still has to be answered. */
     private int overflowCount;
 
-    /** Lets a request wait or, if too many are waiting, releases it and counts it as overflow. */
+    /**
+     * Queues a request. If the queue is full, or if an earlier request is in the overflow, releases the request and
+     * counts it as overflow.
+     */
     void add(ClientExchange exchange) {
         if (overflowCount == 0 && waiting.size() < MAX_WAITING) {
             waiting.add(exchange);
@@ -41,7 +44,7 @@
         return overflowCount > 0;
     }
 
-    /** Removes one request from the overflow, as it gets its response. */
+    /** Removes one request from the overflow; to be called when the response to it is created. */
     void removeOneFromOverflow() {
         overflowCount--;
     }
--- a/src/main/java/gaugegw/proxy/client/RequestAggregator.java
+++ b/src/main/java/gaugegw/proxy/client/RequestAggregator.java
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Returns whether a request has any transfer coding but a single {@code chunked} in HTTP/1.1. Netty only looks for
-     * {@code chunked} among the codings, and would misjudge where a body with another coding ends.
+     * Returns whether a request has a transfer coding other than a single {@code chunked} in HTTP/1.1. Netty only looks
+     * for {@code chunked} among the codings, and would misjudge where a body with another coding ends.
      */
     private static boolean hasUnsupportedCoding(HttpRequest head) {
         List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
@@ -79,7 +79,7 @@
     @Override
     protected Object newContinueResponse(HttpMessage head, int maxBodyBytes, ChannelPipeline pipeline) {
         if (isContentLengthInvalid(head, maxBodyBytes)) {
-            // handleOversizedMessage sends the error, after the responses to the requests before this one.
+            // handleOversizedMessage sends status 413, after the responses to the requests before this one.
             return null;
         }
         return super.newContinueResponse(head, maxBodyBytes, pipeline);
--- a/src/main/java/gaugegw/proxy/client/RequestArrival.java
+++ b/src/main/java/gaugegw/proxy/client/RequestArrival.java
@@ -28,15 +28,15 @@
         return firstByteAtUs >= 0;
     }
 
-    /** Returns when the first byte of the incomplete request was received. */
+    /** Returns when the first byte of the incomplete request was received; negative if there is no such request. */
     long firstByteAtUs() {
         return firstByteAtUs;
     }
 
     /** Records that a request was read completely; returns when its first byte was received. */
     long requestCompleted() {
-        // One read may hold several requests. No first byte is recorded for the later ones; they were received at the
-        // same time as the first.
+        // One read may contain several requests. No first byte is recorded for the later ones; they were received at
+        // the same time as the first.
         if (isIncomplete()) {
             lastCompletedFirstByteAtUs = firstByteAtUs;
         }
--- a/src/main/java/gaugegw/proxy/client/package-info.java
+++ b/src/main/java/gaugegw/proxy/client/package-info.java
@@ -11,12 +11,12 @@
  * <p>The handlers of a connection's pipeline, starting at the socket: {@link gaugegw.proxy.client.ClientConnection},
  * {@link gaugegw.proxy.http.StrictRequestDecoder}, {@code HttpResponseEncoder}, {@link
  * gaugegw.proxy.client.RequestAggregator}, {@link gaugegw.proxy.client.ClientRequestHandler}. {@code ClientConnection}
- * comes first because it drops bytes that must not be decoded. The decoder is removed once an invalid request has been
- * read.
+ * comes first because it drops bytes that must not be decoded. The decoder is removed once the connection has a final
+ * error, after which it is closed.
  *
- * <p>Buffer ownership: an exchange releases its request when it responds or when the client has disconnected. The
- * encoder releases a response once it is written; the exchange releases a response that it can no longer send. The
- * closing sequence releases a final error that was not sent.
+ * <p>Buffer ownership: an exchange releases its request when it responds, when the client has disconnected, or when the
+ * exchange is dropped before it has begun. The encoder releases a response once it is written; the exchange releases a
+ * response that it can no longer send. The closing sequence releases a final error that was not sent.
  *
  * <p>Threading: everything in this package runs on the proxy's event loop, except where {@link
  * gaugegw.proxy.client.Frontend} says otherwise, and nothing is synchronized.
