--- a/src/main/java/gaugegw/Main.java
+++ b/src/main/java/gaugegw/Main.java
@@ -7,9 +7,9 @@
 import java.io.IOException;
 
 /**
- * The entry point of the command line. The command {@code serve} runs a proxy, {@code simulate} connects its load
- * balancer to the simulator's wire, and {@code load-classes} loads the classes that {@code serve} needs, for the class
- * data sharing archive that makes its starts faster.
+ * The entry point of the command line. The command {@code serve} runs a proxy. The command {@code simulate} runs the
+ * proxy's load balancer for the simulator, over standard input and output. The command {@code load-classes} loads the
+ * classes that {@code serve} needs, so that they can be archived and later starts are faster.
  */
 public final class Main {
     private Main() {}
--- a/src/main/java/gaugegw/proxy/lifecycle/DrainSchedule.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/DrainSchedule.java
@@ -4,7 +4,9 @@
 import gaugegw.balancer.api.RequestClass;
 
 /**
- * The times of the steps of a graceful shutdown, in milliseconds after its start.
+ * The times of the steps of a graceful shutdown, in milliseconds after its start. Readiness checks fail from the start.
+ * If the longest deadline is below {@code ACCEPT_GRACE_MS}, idle connections are closed before the proxy stops
+ * accepting new ones.
  *
  * @param stopAcceptingMs when the proxy stops accepting connections
  * @param closeAfterResponsesMs from when on a connection is closed with its next response, so that its client
@@ -22,14 +24,14 @@
     private static final long ACCEPT_GRACE_MS = 500;
 
     /**
-     * Time before the close of idle connections, in milliseconds, during which connections are closed with a response:
-     * clients that keep sending requests leave in this way.
+     * Time before idle connections are closed, in milliseconds, from which each connection is closed after its next
+     * response. In this time, clients that keep sending requests reconnect to another proxy.
      */
     private static final long RECONNECT_PERIOD_MS = 500;
 
     /**
-     * Upper bound on the longest deadline, in milliseconds. SIGKILL is sent 700 ms after the longest deadline, but no
-     * later than 700 ms after this bound.
+     * Upper bound on the longest deadline of the request classes, in milliseconds. SIGKILL is sent 700 ms after the
+     * longest deadline or after this bound, whichever is earlier.
      */
     private static final long MAX_DEADLINE_MS = 3_000;
 
@@ -45,8 +47,8 @@
     private static final long MICROS_PER_MILLI = 1_000;
 
     /**
-     * Returns the schedule for the given settings. Every request in flight has until its deadline to be answered, but
-     * no longer than the upper bound on the longest deadline.
+     * Returns the schedule for the given settings. A request that is in flight at the start is not failed before its
+     * deadline, unless the deadline is above the upper bound.
      */
     static DrainSchedule of(BalancerSettings settings) {
         long deadlineMs = Math.min(MAX_DEADLINE_MS, longestDeadlineMs(settings));
--- a/src/main/java/gaugegw/proxy/lifecycle/ExitStatus.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/ExitStatus.java
@@ -1,8 +1,8 @@
 package gaugegw.proxy.lifecycle;
 
-/** The exit statuses of the process. */
+/** The exit statuses of the process, except for those of the command {@code simulate}. */
 public final class ExitStatus {
-    /** The proxy was drained after a signal to terminate. */
+    /** The proxy was drained after SIGTERM or another signal that ends the process. */
     static final int SUCCESS = 0;
 
     /** The command line names no known command. */
--- a/src/main/java/gaugegw/proxy/lifecycle/GracefulShutdown.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/GracefulShutdown.java
@@ -24,7 +24,7 @@
  * </ol>
  */
 final class GracefulShutdown {
-    /** Interval at which the proxy checks whether a client is still connected, in milliseconds. */
+    /** Interval between two checks whether all clients have disconnected, in milliseconds. */
     private static final long CHECK_INTERVAL_MS = 10;
 
     /** Maximum wait for the last log line, in milliseconds: a busy event loop must not delay the end of the process. */
@@ -48,7 +48,9 @@
         this.dispatcher = dispatcher;
     }
 
-    /** Drains the proxy until no client is connected or the time is up. Must not be called on the event loop. */
+    /**
+     * Drains the proxy until no client is connected or the time to exit has come. Must not be called on the event loop.
+     */
     void run() {
         begun = true;
         DrainSchedule schedule = DrainSchedule.of(config.settings());
--- a/src/main/java/gaugegw/proxy/lifecycle/LoadClassesCommand.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/LoadClassesCommand.java
@@ -7,12 +7,12 @@
 
 /**
  * The command {@code load-classes}: loads the classes that {@code serve} needs, and ends. The Java runtime writes the
- * loaded classes to a class data sharing archive, from which later starts load them faster. A class that {@code serve}
- * needs and that is not loaded here slows down every start.
+ * loaded classes to a class data sharing archive, from which later starts load them faster. Each class that {@code
+ * serve} needs but this command does not load slows down every start.
  */
 public final class LoadClassesCommand {
     /**
-     * Time limit of the warm-up, in milliseconds. It is long because this process does not have to be ready in time.
+     * Time limit of the warm-up, in milliseconds. It is long because no client waits for this process.
      */
     private static final long WARMUP_LIMIT_MS = 60_000;
 
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Loads the classes that sockets need, as the warm-up uses none. Listens on a free port, as the configured one may
-     * be in use.
+     * Loads the classes that sockets need; the warm-up uses in-process channels only. Listens on a free port, because
+     * the configured one may be in use.
      */
     private static void listenAndStop(ProxyConfig config) {
         var freePort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
--- a/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
@@ -21,8 +21,8 @@
 
 /**
  * One proxy: creates and connects its parts, starts them, reloads the configuration, and drains and stops the proxy.
- * Its methods may be called on any thread except the event loop, as several of them wait for the event loop. The proxy
- * owns the event loop of its transport and ends it in {@link #stop}.
+ * Its methods may be called on any thread except the event loop: several of them wait for the event loop and would
+ * deadlock there. The proxy owns the event loop of its transport and ends it in {@link #stop}.
  */
 public final class ProxyServer {
     private final ProxyConfig config;
@@ -45,7 +45,7 @@
     }
 
     /**
-     * Creates a proxy, which does not open a connection yet.
+     * Creates a proxy that neither listens nor connects yet.
      *
      * @param transport creates the connections; its event loop must not be shared with another proxy
      */
@@ -72,9 +72,9 @@
     }
 
     /**
-     * Starts to serve clients.
+     * Starts to serve clients. Waits until the proxy listens.
      *
-     * @return the listen address, or empty if the drain has begun meanwhile, in which case no client is accepted
+     * @return the listen address, or empty if the drain has already begun: the proxy then stops listening at once
      * @throws InvalidConfigException if the proxy can't listen on the configured address
      */
     public Optional<InetSocketAddress> start() throws InvalidConfigException {
@@ -92,12 +92,17 @@
         return Optional.of(address);
     }
 
-    /** Loads the cached endpoints and starts listening. Returns the future of the bind, which may have failed. */
+    /**
+     * Loads the cached endpoints and starts listening. If discovery is a local agent, first waits until the first call
+     * to it has ended.
+     *
+     * @return the future of the bind, which may fail
+     */
     ChannelFuture listen() {
         loop.execute(() -> endpointWatcher.loadCachedEndpoints(config.cachedEndpoints()));
         if (endpointWatcher.hasLocalAgent()) {
             // A proxy must comply with a pushed update from its first request on, so it accepts no client before the
-            // first update has arrived.
+            // agent has sent the current list, or the call to it has failed.
             endpointWatcher.firstCallFuture().awaitUninterruptibly();
         }
         return frontend.listen(transport, config.listenAddress());
@@ -116,7 +121,7 @@
         }
     }
 
-    /** Applies the discovery address of a new configuration. All other changes take effect at the next start. */
+    /** Applies the discovery address of a new configuration. Other changes take effect when the process restarts. */
     void applyConfig(ProxyConfig changed) {
         InetSocketAddress address = changed.discoveryAddress();
         loop.execute(() -> {
@@ -125,7 +130,7 @@
         });
     }
 
-    /** Logs why a new configuration is invalid. The current one stays in force. */
+    /** Logs why a new configuration is invalid. The current one stays in use. */
     void rejectConfig(Exception reason) {
         loop.execute(() -> log.write(
                 config.name() + ": can't use the new configuration, keeping the current one: " + reason.getMessage()));
--- a/src/main/java/gaugegw/proxy/lifecycle/ServeCommand.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/ServeCommand.java
@@ -11,16 +11,17 @@
  * drains the proxy and ends the process.
  */
 public final class ServeCommand {
-    /** Time after the start of the process by which the proxy must be ready, in milliseconds. */
+    /** Maximum time from the start of the process until the proxy is ready, in milliseconds. */
     static final long READY_WITHIN_MS = 6_000;
 
     /** Time that the Java runtime needs to start on a fraction of a CPU core, in milliseconds. */
     static final long RUNTIME_START_MS = 500;
 
     /**
-     * Time limit of the warm-up at a first start, in milliseconds. No client is accepted before the warm-up has ended.
-     * A restart with an endpoint list that has never changed can't be told from a first start, so it is warmed up too:
-     * without the limit it would not be ready in time.
+     * Time limit of the warm-up at a first start, in milliseconds: what the other steps of a start leave of the time
+     * until the proxy must be ready. No client is accepted before the warm-up has ended. A restart with an endpoint
+     * list that has never changed looks like a first start and runs the warm-up too; without the limit, the proxy would
+     * not be ready in time.
      */
     static final long WARMUP_LIMIT_MS =
             READY_WITHIN_MS - RUNTIME_START_MS - EndpointWatcher.FIRST_SERVICE_CALL_TIMEOUT_MS;
@@ -38,8 +39,8 @@
     }
 
     /**
-     * Starts a proxy and returns while it serves. The process ends at a signal to terminate, or with
-     * {@link ExitStatus#INVALID_CONFIG} if the proxy can't start.
+     * Starts a proxy and returns once it serves; the event loop keeps the process alive. The process ends after
+     * SIGTERM, or with {@link ExitStatus#INVALID_CONFIG} if the proxy can't start.
      */
     public static void run() {
         try {
@@ -63,7 +64,7 @@
         return Path.of(file);
     }
 
-    /** Reports an invalid configuration and ends the process at once, as no clients are connected that need a drain. */
+    /** Reports an invalid configuration and ends the process without a drain, because no clients are connected. */
     static void reportAndExit(InvalidConfigException reason) {
         System.err.println("invalid configuration, exiting: " + reason.getMessage());
         Runtime.getRuntime().halt(ExitStatus.INVALID_CONFIG);
@@ -88,19 +89,20 @@
     }
 
     /**
-     * Installs a handler for SIGTERM. It does the same as the Java runtime's own handler; installing it shows whether
-     * the process can receive the signal.
+     * Installs a handler for SIGTERM, which does the same as the Java runtime's own handler. The attempt shows whether
+     * the signal was already ignored at the start, which is logged.
      */
     private void installTerminationHandler() {
         if (!SignalHandlers.install(SignalHandlers.TERMINATE, () -> System.exit(ExitStatus.SUCCESS))) {
             server.logWithName(
-                    "SIGTERM was already ignored when this process started: only SIGKILL can end it, without a drain");
+                    "SIGTERM was already ignored when this process started: it will neither drain the proxy nor end"
+                            + " the process; SIGKILL ends the process without a drain");
         }
     }
 
     /**
-     * Reloads the configuration at each SIGHUP or, if the process can't receive SIGHUP, at each replacement of the
-     * file; never at both.
+     * Reloads the configuration at each SIGHUP. Only if SIGHUP was already ignored at the start, polls the file instead
+     * and reloads it when its contents change.
      */
     private void installReloadTrigger() {
         if (SignalHandlers.install(SignalHandlers.RELOAD, () -> server.reload(configFile))) {
--- a/src/main/java/gaugegw/proxy/lifecycle/StubClients.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/StubClients.java
@@ -19,8 +19,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The stub clients of a warm-up. Each client sends its next request when its last one has been answered. The requests
- * are sent in rounds, and all clients pause between two rounds. The state is accessed on the event loop of the
+ * The stub clients of a warm-up. Each client sends its next request when the previous one has been answered. The
+ * requests are sent in rounds, and all clients pause between two rounds. The state is accessed on the event loop of the
  * transport only.
  */
 final class StubClients {
@@ -45,8 +45,7 @@
     private int sentAtRoundEnd = REQUESTS_PER_ROUND;
 
     /**
-     * Number of requests sent. Beyond {@link #TOTAL_REQUESTS}, it also counts the clients that had no request left to
-     * send.
+     * Number of requests sent. When all have been sent, it is further incremented for each client that finishes.
      */
     private int sent;
 
@@ -59,15 +58,18 @@
         this.requests = requests;
     }
 
-    /** Connects all clients, which then begin to send requests. Called on another thread than the event loop. */
+    /** Connects all clients, which then begin to send requests. May be called on any thread. */
     void connect() {
         for (int i = 0; i < CLIENTS; i++) {
             connectClient();
         }
     }
 
-    /** Waits until no client has a request left to send, or until the timeout. */
-    void awaitAllSent(long timeout, TimeUnit unit) throws InterruptedException {
+    /**
+     * Waits until all clients have finished: they have received the response to their last request, and all requests
+     * have been sent. Returns earlier if the timeout expires.
+     */
+    void awaitFinished(long timeout, TimeUnit unit) throws InterruptedException {
         finishedClients.await(timeout, unit);
     }
 
@@ -136,7 +138,10 @@
             sendNext(ctx);
         }
 
-        /** Reconnects: on a slow machine the proxy closes the connections of clients whose pause takes too long. */
+        /**
+         * Reconnects as long as no client has finished: on a slow machine, the proxy closes connections that are idle
+         * for too long while their clients pause.
+         */
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             paused.remove(ctx);
--- a/src/main/java/gaugegw/proxy/lifecycle/StubServer.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/StubServer.java
@@ -17,8 +17,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Responds to requests like a backend or, on discovery's paths, like discovery. Has no state per connection, so that
- * all connections share one instance.
+ * Responds to requests like a backend or, on discovery's paths, like discovery. Has no state per connection, so one
+ * instance serves all connections.
  */
 @ChannelHandler.Sharable
 final class StubServer extends SimpleChannelInboundHandler<FullHttpRequest> {
--- a/src/main/java/gaugegw/proxy/lifecycle/Warmup.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/Warmup.java
@@ -12,13 +12,15 @@
 
 /**
  * Warms up the Java runtime before the proxy serves clients: classes are loaded and hot methods are compiled. On a
- * fraction of a CPU core, this would otherwise delay the requests of the first seconds. The warm-up stays inside the
- * process: it runs a second proxy with stub clients, stub backends and a stub discovery, connected by Netty's
- * in-process channels, on an event loop of its own that ends with the warm-up.
+ * fraction of a CPU core, this would otherwise delay the requests of the first seconds. The warm-up uses no sockets: it
+ * runs another proxy with stub clients, stub backends and a stub discovery, connected by Netty's in-process channels,
+ * on a separate event loop that is shut down when the warm-up ends.
  */
 final class Warmup {
     private static final int BACKENDS = 10;
+    /** The ports only distinguish in-process addresses; no TCP port is used. */
     private static final int PROXY_PORT = 0;
+
     private static final int FIRST_BACKEND_PORT = 1;
     private static final int DISCOVERY_PORT = FIRST_BACKEND_PORT + BACKENDS;
 
@@ -41,7 +43,7 @@
     }
 
     /**
-     * Serves synthetic requests until all of them have been sent or the time is up. Blocks the calling thread.
+     * Serves synthetic requests until all clients have finished or the time is up. Blocks the calling thread.
      *
      * @param config the configuration of the real proxy; its settings determine the request classes and tenants
      * @param timeoutMs the time after which the warm-up ends, in milliseconds
@@ -58,7 +60,7 @@
             startStubServers();
             server.listen().syncUninterruptibly();
             clients.connect();
-            clients.awaitAllSent(timeoutMs, TimeUnit.MILLISECONDS);
+            clients.awaitFinished(timeoutMs, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
--- a/src/main/java/gaugegw/proxy/lifecycle/package-info.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/package-info.java
@@ -12,7 +12,7 @@
  *       thread has returned.
  *   <li><b>The main thread</b> runs a command: it reads the configuration, runs the warm-up, installs the signal
  *       handlers, starts the proxy, and returns. It accesses the parts of a running proxy only through tasks that it
- *       submits to the event loop.
+ *       submits to the event loop and through methods that may be called on any thread.
  *   <li><b>A signal thread</b> is created for each signal. At SIGHUP it reads the configuration, so that no file is
  *       read on the event loop, and passes the result to the event loop. At SIGTERM it calls {@code System.exit}, which
  *       waits for the shutdown hook.
@@ -23,6 +23,6 @@
  *       a daemon thread that polls the file and passes what it reads to the event loop.
  * </ul>
  *
- * <p>The warm-up has an event loop of its own, which has ended before the proxy is created.
+ * <p>The warm-up runs on a separate event loop, which has ended before the proxy is created.
  */
 package gaugegw.proxy.lifecycle;
