--- a/src/main/java/gaugegw/simulator/MalformedMessageException.java
+++ b/src/main/java/gaugegw/simulator/MalformedMessageException.java
@@ -1,6 +1,9 @@
 package gaugegw.simulator;
 
-/** Input that is not a legal message of the wire. The message names the line, counted from 1, and what is wrong there. */
+/**
+ * Input that violates the simulator's wire protocol. The exception message has the form {@code line N: problem}, with
+ * lines counted from 1.
+ */
 final class MalformedMessageException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
@@ -8,28 +11,34 @@
         super("line " + lineNumber + ": " + problem);
     }
 
-    /** A line that is no legal message for a reason that the problem tells in full. */
+    /** Creates an exception for a problem that none of the other factory methods describes. */
     static MalformedMessageException of(long lineNumber, String problem) {
         return new MalformedMessageException(lineNumber, problem);
     }
 
-    /** A line of one message where another is required. */
+    /** Creates an exception for a message that is not the one required at this point. */
     static MalformedMessageException unexpectedMessage(MessageFields found, String expected) {
-        return of(found.lineNumber(), "expected '" + expected + "', found '" + found.name() + "'");
+        return of(found.lineNumber(), "expected message '" + expected + "', found '" + found.name() + "'");
     }
 
-    /** A message without a field that it requires. */
+    /** Creates an exception for a required field that is absent or empty. */
     static MalformedMessageException missingField(MessageFields message, String field) {
         return of(message.lineNumber(), message.name() + ": missing field '" + field + "'");
     }
 
-    /** A field whose value cannot be read as its type requires, such as "number" or "bool". */
-    static MalformedMessageException badValue(MessageFields message, String field, String type, String value) {
-        return of(message.lineNumber(), message.name() + ": bad " + type + " '" + value + "' in '" + field + "'");
+    /**
+     * Creates an exception for a field whose value is not of the required type or is out of its range.
+     *
+     * @param type the required type, as the exception message names it
+     */
+    static MalformedMessageException invalidValue(MessageFields message, String field, String type, String value) {
+        return of(
+                message.lineNumber(),
+                message.name() + ": invalid " + type + " '" + value + "' in field '" + field + "'");
     }
 
-    /** A field whose value is none of the names that the wire defines for it. */
+    /** Creates an exception for a field whose value is not among those that the protocol defines for it. */
     static MalformedMessageException unknownValue(MessageFields message, String field, String value) {
-        return of(message.lineNumber(), message.name() + ": unknown value '" + value + "' in '" + field + "'");
+        return of(message.lineNumber(), message.name() + ": unknown value '" + value + "' in field '" + field + "'");
     }
 }
--- a/src/main/java/gaugegw/simulator/SimulatorCommand.java
+++ b/src/main/java/gaugegw/simulator/SimulatorCommand.java
@@ -4,16 +4,20 @@
 import java.io.FileOutputStream;
 import java.io.IOException;
 
-/** The command {@code simulate}: hosts load balancers for the simulator on standard input and output. */
+/**
+ * The command {@code simulate}: runs load balancers for the simulator, which sends events on standard input and reads
+ * actions from standard output.
+ */
 public final class SimulatorCommand {
     private static final int EXIT_USAGE = 2;
 
     private SimulatorCommand() {}
 
     /**
-     * Runs the host until standard input ends, and ends the process with status 1 after malformed input.
+     * Runs the host until standard input ends. Terminates the process with status 1 after malformed input, and with
+     * status 2 if the arguments are invalid.
      *
-     * @param args the single word {@code simulate}
+     * @param args the command-line arguments; must be the single word {@code simulate}
      * @throws IOException if standard input or output fails
      */
     public static void main(String[] args) throws IOException {
@@ -21,7 +25,7 @@
             System.err.println("usage: java -jar gaugegw.jar simulate");
             System.exit(EXIT_USAGE);
         }
-        // Not System.out: its own buffering would cost a copy of each reply.
+        // System.out would copy each reply into a buffer of its own.
         try (var out = new FileOutputStream(FileDescriptor.out)) {
             int status = new SimulatorHost().run(System.in, out, System.err);
             if (status != 0) {
--- a/src/main/java/gaugegw/simulator/SimulatorHost.java
+++ b/src/main/java/gaugegw/simulator/SimulatorHost.java
@@ -19,17 +19,21 @@
 import java.util.function.Function;
 
 /**
- * Reads batches of events, gives each event to its instance and writes one reply per batch. Instances share no state.
- * A host runs once, on the thread that calls {@link #run}.
+ * Hosts the load balancers of the simulated proxies, called instances here: reads batches of events, passes each event
+ * to its instance, and writes one reply per batch. Instances share no state. A host can be run only once and is
+ * confined to the thread that calls {@link #run}.
  */
 final class SimulatorHost {
-    /** Bounds what is allocated before the endpoints of an update are read, whatever count the message claims. */
+    /**
+     * Largest initial capacity of the list of endpoints. A malformed update with a huge entry count would otherwise
+     * allocate memory for endpoints that never follow.
+     */
     private static final int MAX_INITIAL_ENDPOINTS = 1024;
 
     private static final int EXIT_OK = 0;
     private static final int EXIT_MALFORMED_INPUT = 1;
 
-    private final Function<BalancerSettings, LoadBalancer> factory;
+    private final Function<BalancerSettings, LoadBalancer> balancerFactory;
     private final Map<Integer, Instance> instances = new HashMap<>();
     private final MessageFields message = new MessageFields();
     private final ActionEncoder reply = new ActionEncoder();
@@ -39,30 +43,31 @@
     }
 
     /**
-     * Creates a host.
+     * Creates a host without instances.
      *
-     * @param factory creates the load balancer of each instance that starts
+     * @param balancerFactory creates the load balancer of an instance from its settings
      */
-    SimulatorHost(Function<BalancerSettings, LoadBalancer> factory) {
-        this.factory = factory;
+    SimulatorHost(Function<BalancerSettings, LoadBalancer> balancerFactory) {
+        this.balancerFactory = balancerFactory;
     }
 
     /**
-     * Runs until the input ends. A failure of a load balancer is reported to the simulator; malformed input is reported
-     * in one line and ends the run. The streams are the caller's and stay open.
+     * Handles batches until the input ends. An exception thrown by a load balancer is reported to the simulator in the
+     * reply, and the run continues. Malformed input is reported on {@code errors} in one line and ends the run; the
+     * batch that contains it gets no reply. Does not close the streams.
      *
      * @param in the batches
-     * @param out receives each reply whole, and is flushed after it
-     * @param errors receives what is wrong with malformed input
-     * @return the exit code of the process: 0, or 1 after malformed input
-     * @throws IOException if a stream fails
+     * @param out receives the replies, each in a single write followed by a flush
+     * @param errors receives the description of malformed input
+     * @return the exit status for the process: 0, or 1 after malformed input
+     * @throws IOException if reading the input or writing a reply fails
      */
     int run(InputStream in, OutputStream out, PrintStream errors) throws IOException {
-        var lines = new NumberedLines(in);
+        var reader = new NumberedLineReader(in);
         try {
-            while (lines.next()) {
-                if (!lines.line().isEmpty()) {
-                    handleBatch(lines);
+            while (reader.advance()) {
+                if (!reader.line().isEmpty()) {
+                    handleBatch(reader);
                     out.write(reply.finishReply());
                     out.flush();
                 }
@@ -74,73 +79,73 @@
         }
     }
 
-    /** Handles a batch whose opening line is the current one. */
-    private void handleBatch(NumberedLines lines) throws IOException {
-        message.read(lines.line(), lines.number());
+    /** Handles the batch that begins at the current line, up to and including its last line. */
+    private void handleBatch(NumberedLineReader reader) throws IOException {
+        message.parse(reader.line(), reader.lineNumber());
         if (!message.name().equals(WireNames.BATCH)) {
             throw MalformedMessageException.unexpectedMessage(message, WireNames.BATCH);
         }
-        long nowUs = message.longValue(WireNames.CLOCK_US);
-        nextInBatch(lines);
-        while (!lines.line().equals(WireNames.BATCH_END)) {
-            if (!lines.line().isEmpty()) {
-                message.read(lines.line(), lines.number());
-                handleMessage(nowUs, message.name(), lines);
+        long nowUs = message.longValue(WireNames.BATCH_TIME_US);
+        advanceWithinBatch(reader);
+        while (!reader.line().equals(WireNames.BATCH_END)) {
+            if (!reader.line().isEmpty()) {
+                message.parse(reader.line(), reader.lineNumber());
+                handleMessage(nowUs, message.name(), reader);
             }
-            nextInBatch(lines);
+            advanceWithinBatch(reader);
         }
     }
 
-    private static void nextInBatch(NumberedLines lines) throws IOException {
-        if (!lines.next()) {
-            throw MalformedMessageException.of(lines.number(), "input ends inside a batch");
+    private static void advanceWithinBatch(NumberedLineReader reader) throws IOException {
+        if (!reader.advance()) {
+            throw MalformedMessageException.of(reader.lineNumber(), "input ended before the last line of the batch");
         }
     }
 
-    private void handleMessage(long nowUs, String name, NumberedLines lines) throws IOException {
-        int id = message.nonNegativeInt(WireNames.INSTANCE);
+    private void handleMessage(long nowUs, String name, NumberedLineReader reader) throws IOException {
+        int instanceId = message.nonNegativeInt(WireNames.INSTANCE_ID);
         if (name.equals(WireNames.INSTANCE_STARTED)) {
-            start(id);
+            startInstance(instanceId);
             return;
         }
-        Instance instance = instances.get(id);
+        Instance instance = instances.get(instanceId);
         if (instance == null) {
             throw MalformedMessageException.of(
-                    message.lineNumber(), "'" + name + "' for instance " + id + ", which is not up");
+                    message.lineNumber(), name + ": instance " + instanceId + " is not running");
         }
         switch (name) {
-            case WireNames.INSTANCE_KILLED -> instances.remove(id);
-            case WireNames.GOSSIP_RECEIVED -> {
-                // The load balancer uses no gossip.
+            case WireNames.INSTANCE_KILLED -> instances.remove(instanceId);
+            case WireNames.PEER_MESSAGE_RECEIVED -> {
+                // Ignored: the load balancer does not use messages from other proxies.
             }
-            case WireNames.ENDPOINT_UPDATE -> instance.handle(nowUs, readEndpointUpdate(lines));
-            default -> instance.handle(nowUs, EventDecoder.event(name, message));
+            case WireNames.ENDPOINT_UPDATE -> instance.handle(nowUs, readEndpointUpdate(reader));
+            default -> instance.handle(nowUs, EventDecoder.decodeEvent(name, message));
         }
     }
 
-    private void start(int id) {
-        BalancerSettings settings = EventDecoder.settings(message);
+    private void startInstance(int instanceId) {
+        BalancerSettings settings = EventDecoder.decodeSettings(message);
         try {
-            instances.put(id, new Instance(id, factory.apply(settings)));
+            instances.put(instanceId, new Instance(instanceId, balancerFactory.apply(settings)));
         } catch (RuntimeException e) {
-            reply.failure(id, e);
+            reply.appendFailure(instanceId, e);
         }
     }
 
-    /** Reads an endpoint update: the current line, and as many endpoint lines as it says. */
-    private Event readEndpointUpdate(NumberedLines lines) throws IOException {
-        UpdateKind kind = EventDecoder.updateKind(message);
-        int count = EventDecoder.entryCount(message);
-        List<Endpoint> endpoints = new ArrayList<>(Math.min(count, MAX_INITIAL_ENDPOINTS));
-        for (int i = 0; i < count; i++) {
-            nextInBatch(lines);
-            message.read(lines.line(), lines.number());
-            endpoints.add(EventDecoder.endpoint(message));
+    /** Reads an endpoint update: the current line and the entries that follow it, as many as it announces. */
+    private Event readEndpointUpdate(NumberedLineReader reader) throws IOException {
+        UpdateKind kind = EventDecoder.decodeUpdateKind(message);
+        int entryCount = EventDecoder.decodeEntryCount(message);
+        List<Endpoint> endpoints = new ArrayList<>(Math.min(entryCount, MAX_INITIAL_ENDPOINTS));
+        for (int i = 0; i < entryCount; i++) {
+            advanceWithinBatch(reader);
+            message.parse(reader.line(), reader.lineNumber());
+            endpoints.add(EventDecoder.decodeEndpoint(message));
         }
         return new Event.EndpointUpdate(kind, endpoints);
     }
 
-    /** The load balancer of one simulated proxy; its actions are added to the reply under the proxy's number. */
+    /** The load balancer of one simulated proxy. Appends each action that it emits to the reply. */
     private final class Instance implements Consumer<Action> {
         private final int id;
         private final LoadBalancer balancer;
@@ -154,13 +159,13 @@
             try {
                 balancer.handle(nowUs, event, this);
             } catch (RuntimeException e) {
-                reply.failure(id, e);
+                reply.appendFailure(id, e);
             }
         }
 
         @Override
         public void accept(Action action) {
-            reply.action(id, action);
+            reply.appendAction(id, action);
         }
     }
 }
--- a/src/main/java/gaugegw/simulator/WireNames.java
+++ b/src/main/java/gaugegw/simulator/WireNames.java
@@ -6,17 +6,19 @@
 import java.util.Map;
 
 /**
- * The names of the wire, each mapped to the term that the code uses. They appear nowhere else, so a deployment with
- * other names needs changes here alone.
+ * The names in the simulator's wire protocol: of messages, of their fields and of field values. No other class of the
+ * program contains them, so a simulator with other names requires changes only here. Fields whose constants end in
+ * {@code _US} are in microseconds.
  */
 final class WireNames {
-    // Frame of a batch and of its reply.
+    // The first line of a batch, its field, the last line of a batch and the last line of a reply.
     static final String BATCH = "batch";
-    static final String CLOCK_US = "wall_us";
+    static final String BATCH_TIME_US = "wall_us";
     static final String BATCH_END = "commit";
     static final String REPLY_END = "ok";
 
-    // Messages to an instance.
+    // Messages to an instance, which is the load balancer of one simulated proxy. An endpoint update is followed by one
+    // endpoint entry for each of its endpoints.
     static final String INSTANCE_STARTED = "up";
     static final String INSTANCE_KILLED = "detach";
     static final String ENDPOINT_UPDATE = "update";
@@ -27,7 +29,7 @@
     static final String CLIENT_DISCONNECTED = "hangup";
     static final String STREAM_STARTED = "flowing";
     static final String HEALTH_CHECK_ENDED = "probed";
-    static final String GOSSIP_RECEIVED = "inbox";
+    static final String PEER_MESSAGE_RECEIVED = "inbox";
 
     // Messages from an instance.
     static final String START_ATTEMPT = "relay";
@@ -42,21 +44,21 @@
     static final String LOG_MESSAGE = "print";
     static final String INSTANCE_FAILED = "panic";
 
-    // Fields of several messages.
-    static final String INSTANCE = "who";
+    // Fields that occur in several messages.
+    static final String INSTANCE_ID = "who";
     static final String REQUEST_ID = "op_id";
-    static final String ATTEMPT = "go";
+    static final String ATTEMPT_NUMBER = "go";
     static final String ENDPOINT_ID = "backend";
     static final String OUTCOME = "how";
     static final String LATENCY_US = "cost_time_us";
     static final String TIMER_TOKEN = "ctx";
-    static final String TEXT = "message";
+    static final String MESSAGE_TEXT = "message";
 
-    // Fields of one message.
+    // Fields that occur in one message only.
     static final String SEED = "prng";
     static final String REQUEST_CLASS = "kind";
     static final String TENANT = "user_group";
-    static final String CACHE_KEY = "path_key";
+    static final String AFFINITY_KEY = "path_key";
     static final String CLIENT_TIMEOUT_US = "patience_left_us";
     static final String IS_RETRY = "repeat";
     static final String REQUEST_ENDED = "last";
--- a/src/test/java/gaugegw/simulator/DecisionDigestTest.java
+++ b/src/test/java/gaugegw/simulator/DecisionDigestTest.java
@@ -25,20 +25,21 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Guards refactorings: generated workloads lead to the very decisions that were recorded. Each scenario is played
- * through the host as wire text, and the SHA-256 of all replies is compared with the one in decision-digests.txt.
+ * Checks that the load balancer still makes the decisions that were recorded, to find unintended changes of behaviour
+ * in a refactoring. A generated workload for each scenario runs against the simulator host, and the SHA-256 of all
+ * replies is compared with the one in decision-digests.txt.
  *
- * <p>To see the first decision that differs, run it on both versions with {@code -Ddecision.trace.dir=DIR}, which writes
- * the events and replies of each scenario to a file, and compare the files with diff. A change that is meant to alter
- * decisions records new digests: a failing test prints the line that it found.
+ * <p>To find the first decision that differs, run the test on both versions with {@code -Ddecision.trace.dir=DIR},
+ * which writes the batches and replies of each scenario to a file, and compare the files with diff. After an intended
+ * change of decisions, update decision-digests.txt: each failing test prints the new line.
  */
 class DecisionDigestTest {
-    private static final String DIGESTS = "/decision-digests.txt";
-    private static final long LEAST_PLAYED_US = 60_000_000;
-    private static final int LEAST_EVENTS = 2_000;
-    private static final Map<String, Played> PLAYED = new LinkedHashMap<>();
+    private static final String DIGEST_FILE = "/decision-digests.txt";
+    private static final long MIN_SIMULATED_US = 60_000_000;
+    private static final int MIN_EVENTS = 2_000;
+    private static final Map<String, WorkloadResult> RESULTS = new LinkedHashMap<>();
 
-    private record Played(String digest, int events, long playedUs, Map<String, Integer> actions) {}
+    private record WorkloadResult(String digest, int eventCount, long simulatedUs, Map<String, Integer> actionCounts) {}
 
     static List<WorkloadScenario> scenarios() {
         var scenarios = new ArrayList<WorkloadScenario>();
@@ -52,29 +53,30 @@
         return scenarios;
     }
 
-    private static Played play(WorkloadScenario scenario) throws IOException {
+    private static WorkloadResult runWorkload(WorkloadScenario scenario) throws IOException {
         var workload = new GeneratedWorkload(scenario);
         var errors = new ByteArrayOutputStream();
-        int exit;
+        int exitStatus;
         try {
-            exit = new SimulatorHost().run(workload.input(), workload.output(), new PrintStream(errors, true, UTF_8));
+            exitStatus =
+                    new SimulatorHost().run(workload.input(), workload.output(), new PrintStream(errors, true, UTF_8));
         } finally {
-            String directory = System.getProperty("decision.trace.dir");
-            if (directory != null) {
-                Files.createDirectories(Path.of(directory));
-                Files.writeString(Path.of(directory, scenario.name() + ".txt"), workload.transcript());
+            String traceDirectory = System.getProperty("decision.trace.dir");
+            if (traceDirectory != null) {
+                Files.createDirectories(Path.of(traceDirectory));
+                Files.writeString(Path.of(traceDirectory, scenario.name() + ".txt"), workload.transcript());
             }
         }
         assertThat(errors.toString(UTF_8)).isEmpty();
-        assertThat(exit).isZero();
-        return new Played(
+        assertThat(exitStatus).isZero();
+        return new WorkloadResult(
                 sha256(workload.replies()), workload.eventCount(), workload.elapsedUs(), workload.actionCounts());
     }
 
-    private static Played played(WorkloadScenario scenario) {
-        return PLAYED.computeIfAbsent(scenario.name(), name -> {
+    private static WorkloadResult resultOf(WorkloadScenario scenario) {
+        return RESULTS.computeIfAbsent(scenario.name(), name -> {
             try {
-                return play(scenario);
+                return runWorkload(scenario);
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -89,10 +91,10 @@
         }
     }
 
-    private static Map<String, String> recorded() throws IOException {
+    private static Map<String, String> recordedDigests() throws IOException {
         var digests = new LinkedHashMap<String, String>();
-        try (InputStream in = DecisionDigestTest.class.getResourceAsStream(DIGESTS)) {
-            assertThat(in).as(DIGESTS).isNotNull();
+        try (InputStream in = DecisionDigestTest.class.getResourceAsStream(DIGEST_FILE)) {
+            assertThat(in).as(DIGEST_FILE).isNotNull();
             for (String line : new String(in.readAllBytes(), UTF_8).lines().toList()) {
                 if (!line.isBlank() && !line.startsWith("#")) {
                     String[] parts = line.split(" = ", 2);
@@ -105,35 +107,38 @@
 
     @ParameterizedTest
     @MethodSource("scenarios")
-    void decidesAsRecorded(WorkloadScenario scenario) throws IOException {
-        Played played = played(scenario);
-        assertThat(scenario.name() + " = " + played.digest())
+    void repliesMatchRecordedDigest(WorkloadScenario scenario) throws IOException {
+        WorkloadResult result = resultOf(scenario);
+        assertThat(scenario.name() + " = " + result.digest())
                 .as(
-                        "decisions of %s; for the first that differs, run this on both versions with "
-                                + "-Ddecision.trace.dir=DIR and diff DIR/%s.txt",
+                        "digest of the replies in scenario %s; to find the first decision that differs, "
+                                + "run this test on both versions with -Ddecision.trace.dir=DIR "
+                                + "and compare the files DIR/%s.txt with diff",
                         scenario.name(), scenario.name())
-                .isEqualTo(scenario.name() + " = " + recorded().get(scenario.name()));
+                .isEqualTo(scenario.name() + " = " + recordedDigests().get(scenario.name()));
     }
 
     @ParameterizedTest
     @MethodSource("scenarios")
-    void playsLongEnoughAndSends(WorkloadScenario scenario) {
-        Played played = played(scenario);
-        assertThat(played.playedUs()).isGreaterThanOrEqualTo(LEAST_PLAYED_US);
-        assertThat(played.events()).isGreaterThanOrEqualTo(LEAST_EVENTS);
-        assertThat(played.actions().getOrDefault("relay", 0)).isGreaterThan(LEAST_EVENTS / 10);
+    void workloadRunsLongEnoughAndStartsAttempts(WorkloadScenario scenario) {
+        WorkloadResult result = resultOf(scenario);
+        assertThat(result.simulatedUs()).isGreaterThanOrEqualTo(MIN_SIMULATED_US);
+        assertThat(result.eventCount()).isGreaterThanOrEqualTo(MIN_EVENTS);
+        assertThat(result.actionCounts().getOrDefault("relay", 0)).isGreaterThan(MIN_EVENTS / 10);
     }
 
     @Test
-    void leadsToEveryKindOfAction() {
+    void workloadsCauseEveryKindOfActionThatTheLoadBalancerEmits() {
         var kinds = new TreeSet<String>();
-        scenarios().forEach(scenario -> kinds.addAll(played(scenario).actions().keySet()));
+        scenarios()
+                .forEach(scenario ->
+                        kinds.addAll(resultOf(scenario).actionCounts().keySet()));
         assertThat(kinds).contains("relay", "arm", "retract", "not_now", "finish_error", "observe", "release");
     }
 
     @Test
-    void recordsEachScenarioAndNoOther() throws IOException {
-        assertThat(recorded().keySet())
+    void digestFileContainsExactlyTheScenarios() throws IOException {
+        assertThat(recordedDigests().keySet())
                 .containsExactlyElementsOf(
                         scenarios().stream().map(WorkloadScenario::name).toList());
     }
--- a/src/test/java/gaugegw/simulator/SimulatorHostTest.java
+++ b/src/test/java/gaugegw/simulator/SimulatorHostTest.java
@@ -27,52 +27,57 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The wire: every event and action, restarts of an instance, and the errors for malformed input. */
+/**
+ * Tests the simulator host through its wire protocol: settings, every event and every action, the restart of an
+ * instance, an exception in its load balancer, and the errors for malformed input.
+ */
 class SimulatorHostTest {
-    private static final String SETTINGS =
+    private static final String SETTING_FIELDS =
             "balancers=3 rank=2 bounds.cancel=true bounds.may_duplicate=false bounds.most_tries=4 "
-                    + "bounds.probes=false bounds.max_retry_after_us=2000000 bounds.connect_timeout_us=150000 registry_mode=on_request locality=skoyen "
+                    + "bounds.probes=false bounds.max_retry_after_us=2000000 bounds.connect_timeout_us=150000 "
+                    + "registry_mode=on_request locality=skoyen "
                     + "quantum_us=4000 invariants.cold_from=0.4 invariants.cold_us=8100000 invariants.fall_multiple=4.0 "
-                    + "invariants.fall_us=1000000 invariants.full_unproven=true invariants.must_ask_in_us=10000000 over_share_worth=0.05 "
+                    + "invariants.fall_us=1000000 invariants.full_unproven=true invariants.must_ask_in_us=10000000 "
+                    + "over_share_worth=0.05 "
                     + "profiles.count=1 profiles.0.name=pay profiles.0.aim_us=400000 profiles.0.deadline_us=2000000 "
                     + "profiles.0.value=10.0 profiles.0.late_worth=0.0 profiles.0.effect=deduplicated "
                     + "profiles.0.key_scope=zone profiles.0.window_us=1200000 projects.count=1 projects.0.name=vest "
                     + "projects.0.allowance_per_s=277.0 extra.warm_keys=true some.new.setting=x";
-    private static final String START = "up who=3 prng=5192 " + SETTINGS + "\n";
-    private static final String ENDPOINT_UPDATE = "update who=3 form=stale_copy revision=41 nodes_list=1\n"
+    private static final String START_MESSAGE = "up who=3 prng=5192 " + SETTING_FIELDS + "\n";
+    private static final String ENDPOINT_UPDATE_MESSAGE = "update who=3 form=stale_copy revision=41 nodes_list=1\n"
             + "entry stage_state=IN group=2 machine=std-1 zone=ulven last_start_us=7 capacity_hint=1.5 "
             + "backend=10.1.1.1:80 new_key=1\n";
 
-    private final ByteArrayOutputStream out = new ByteArrayOutputStream();
-    private final ByteArrayOutputStream errors = new ByteArrayOutputStream();
-    private final List<BalancerSettings> settingsRead = new ArrayList<>();
-    private final List<Event> events = new ArrayList<>();
-    private final List<Action> actions = new ArrayList<>();
+    private final ByteArrayOutputStream output = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream errorOutput = new ByteArrayOutputStream();
+    private final List<BalancerSettings> receivedSettings = new ArrayList<>();
+    private final List<Event> receivedEvents = new ArrayList<>();
+    private final List<Action> actionsToEmit = new ArrayList<>();
 
-    private int run(String input) throws IOException {
+    private int runHost(String input) throws IOException {
         return new SimulatorHost(settings -> {
-                    settingsRead.add(settings);
-                    return (nowUs, event, emitted) -> {
-                        events.add(event);
+                    receivedSettings.add(settings);
+                    return (nowUs, event, actionConsumer) -> {
+                        receivedEvents.add(event);
                         if (event instanceof Event.TimerFired timer
                                 && timer.token().equals("boom")) {
                             throw new IllegalStateException("out\nof order");
                         }
-                        actions.forEach(emitted);
+                        actionsToEmit.forEach(actionConsumer);
                     };
                 })
                 .run(
                         new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
-                        out,
-                        new PrintStream(errors, true, StandardCharsets.UTF_8));
+                        output,
+                        new PrintStream(errorOutput, true, StandardCharsets.UTF_8));
     }
 
-    private String output() {
-        return out.toString(StandardCharsets.UTF_8);
+    private String replies() {
+        return output.toString(StandardCharsets.UTF_8);
     }
 
-    private String error() {
-        return errors.toString(StandardCharsets.UTF_8).strip();
+    private String errorLine() {
+        return errorOutput.toString(StandardCharsets.UTF_8).strip();
     }
 
     private static String batch(String... lines) {
@@ -80,15 +85,15 @@
     }
 
     @Test
-    void emptyBatchIsAnsweredAndTheEndOfInputIsNoError() throws IOException {
-        assertThat(run(batch())).isZero();
-        assertThat(output()).isEqualTo("ok\n");
+    void answersEmptyBatchAndExitsNormallyAtEndOfInput() throws IOException {
+        assertThat(runHost(batch())).isZero();
+        assertThat(replies()).isEqualTo("ok\n");
     }
 
     @Test
-    void readsSettings() throws IOException {
-        assertThat(run(batch(START))).isZero();
-        assertThat(settingsRead)
+    void decodesSettings() throws IOException {
+        assertThat(runHost(batch(START_MESSAGE))).isZero();
+        assertThat(receivedSettings)
                 .containsExactly(settings()
                         .proxy(2, 3)
                         .zone("skoyen")
@@ -124,19 +129,20 @@
     }
 
     @Test
-    void sendsNoRetryAfterWhereTheSettingsForbidIt() throws IOException {
-        assertThat(run(batch(START.replace("bounds.probes=false", "bounds.probes=false bounds.retry_after=false"))))
+    void decodesZeroMaxRetryAfterIfRetryAfterIsDisabled() throws IOException {
+        assertThat(runHost(batch(
+                        START_MESSAGE.replace("bounds.probes=false", "bounds.probes=false bounds.retry_after=false"))))
                 .isZero();
-        assertThat(settingsRead)
+        assertThat(receivedSettings)
                 .extracting(settings -> settings.limits().maxRetryAfterUs())
                 .containsExactly(0L);
     }
 
     @Test
-    void readsEveryEvent() throws IOException {
-        assertThat(run(batch(
-                        START,
-                        ENDPOINT_UPDATE,
+    void decodesEveryEvent() throws IOException {
+        assertThat(runHost(batch(
+                        START_MESSAGE,
+                        ENDPOINT_UPDATE_MESSAGE,
                         "incoming who=3 op_id=t/1 kind=pay user_group=vest path_key=user:k patience_left_us=240000 repeat=1\n",
                         "completed who=3 op_id=t/1 last=0 cost_time_us=18500 how=shed backend=10.1.1.1:80 go=0 health_info=rif:2\n",
                         "flowing who=3 op_id=t/1 cost_time_us=9 go=1 backend=10.1.1.1:80\n",
@@ -145,7 +151,7 @@
                         "deadline_hit who=3 ctx=x\n",
                         "inbox who=3 author=2 content=6869\n")))
                 .isZero();
-        assertThat(events)
+        assertThat(receivedEvents)
                 .containsExactly(
                         new Event.EndpointUpdate(
                                 UpdateKind.CACHED,
@@ -166,8 +172,8 @@
     }
 
     @Test
-    void writesEveryAction() throws IOException {
-        actions.addAll(List.of(
+    void encodesEveryAction() throws IOException {
+        actionsToEmit.addAll(List.of(
                 new Action.StartAttempt("t/1", "b:1", 80),
                 new Action.SetTimer(90, "q"),
                 new Action.Reject("t/1", 0),
@@ -179,8 +185,8 @@
                 new Action.FetchEndpoints(),
                 new Action.CloseIdleConnections("b:1"),
                 new Action.LogMessage("two\nlines")));
-        assertThat(run(batch(START, "deadline_hit who=3 ctx=x\n"))).isZero();
-        assertThat(output()).isEqualTo("""
+        assertThat(runHost(batch(START_MESSAGE, "deadline_hit who=3 ctx=x\n"))).isZero();
+        assertThat(replies()).isEqualTo("""
                 relay who=3 op_id=t/1 backend=b:1 max_wait_us=80
                 arm who=3 fire_at_us=90 ctx=q
                 not_now who=3 op_id=t/1
@@ -197,33 +203,34 @@
     }
 
     /**
-     * A proxy is killed and restarted within one batch. The new instance must have a new load balancer: state of the
-     * previous one would name requests that no longer exist.
+     * A proxy is killed and restarted within one batch. The new instance must get a new load balancer: the state of the
+     * previous one would refer to requests that no longer exist.
      */
     @Test
-    void instanceStartsAfreshAfterItWasKilledInTheSameBatch() throws IOException {
-        assertThat(run(batch(START) + batch("detach who=3\n", START, "hangup who=3 op_id=t/1\n")))
+    void createsNewLoadBalancerForInstanceKilledAndRestartedInOneBatch() throws IOException {
+        assertThat(runHost(batch(START_MESSAGE) + batch("detach who=3\n", START_MESSAGE, "hangup who=3 op_id=t/1\n")))
                 .isZero();
-        assertThat(settingsRead).hasSize(2);
-        assertThat(events).hasSize(1);
+        assertThat(receivedSettings).hasSize(2);
+        assertThat(receivedEvents).hasSize(1);
     }
 
     /**
-     * A load balancer throws. The simulator must learn which instance failed and where, on one line, and the
-     * reply must be complete; without it the simulator would wait for its end.
+     * A load balancer throws an exception. The reply must tell the simulator, on one line, which instance failed and
+     * where in the code. It must also be complete: the simulator would wait forever for its last line.
      */
     @Test
-    void failureOfALoadBalancerIsReportedForItsInstanceWithThePlace() throws IOException {
-        assertThat(run(batch(START, "deadline_hit who=3 ctx=boom\n"))).isZero();
-        assertThat(output())
+    void reportsLoadBalancerExceptionWithInstanceAndCodeLocation() throws IOException {
+        assertThat(runHost(batch(START_MESSAGE, "deadline_hit who=3 ctx=boom\n")))
+                .isZero();
+        assertThat(replies())
                 .startsWith("panic who=3 message=java.lang.IllegalStateException: out of order at gaugegw")
                 .endsWith("\nok\n")
                 .contains("HostTest.java:");
     }
 
     /**
-     * The simulator and this program disagree about the wire. The run ends with the number of the line and the part
-     * of it that is wrong, and without half a reply.
+     * The simulator and this program disagree about the protocol. The run must end with an error that names the line
+     * and the invalid part of it, and without writing an incomplete reply.
      */
     @ParameterizedTest
     @CsvSource(
@@ -231,39 +238,40 @@
             value = {
                 "hangup who=3| hangup: missing field 'op_id'",
                 "hangup op_id=1| hangup: missing field 'who'",
-                "hangup who=x op_id=1| hangup: bad number 'x' in 'who'",
-                "hangup who=4 op_id=1| 'hangup' for instance 4, which is not up",
+                "hangup who=x op_id=1| hangup: invalid number 'x' in field 'who'",
+                "hangup who=4 op_id=1| hangup: instance 4 is not running",
                 "wave who=3| unknown event 'wave'",
-                "hangup who=3 op_id| malformed field 'op_id'",
-                "completed who=3 op_id=1 go=0 backend=b cost_time_us=1 how=odd| completed: unknown value 'odd' in 'how'",
-                "completed who=3 op_id=1 go=0 backend=b cost_time_us=1 how=shed last=2| completed: bad bool '2' in 'last'",
-                "update who=3 form=whole nodes_list=1| expected 'entry', found 'commit'",
+                "hangup who=3 op_id| malformed field 'op_id', expected name=value",
+                "completed who=3 op_id=1 go=0 backend=b cost_time_us=1 how=odd| completed: unknown value 'odd' in field 'how'",
+                "completed who=3 op_id=1 go=0 backend=b cost_time_us=1 how=shed last=2| completed: invalid boolean '2' in field 'last'",
+                "update who=3 form=whole nodes_list=1| expected message 'entry', found 'commit'",
                 "batch wall_us=2| batch: missing field 'who'"
             })
-    void namesTheMalformedPartAndItsLine(String line, String message) throws IOException {
-        assertThat(run(batch(START, line + "\n"))).isEqualTo(1);
-        assertThat(error()).matches("line [34]: .*").endsWith(message.strip());
-        assertThat(output()).isEmpty();
+    void reportsLineNumberAndInvalidPartOfMalformedMessage(String line, String expectedError) throws IOException {
+        assertThat(runHost(batch(START_MESSAGE, line + "\n"))).isEqualTo(1);
+        assertThat(errorLine()).matches("line [34]: .*").endsWith(expectedError.strip());
+        assertThat(replies()).isEmpty();
     }
 
     @Test
-    void rejectsAnythingOutsideABatch() throws IOException {
-        assertThat(run("hangup who=3\n")).isEqualTo(1);
-        assertThat(error()).isEqualTo("line 1: expected 'batch', found 'hangup'");
+    void rejectsMessageOutsideBatch() throws IOException {
+        assertThat(runHost("hangup who=3\n")).isEqualTo(1);
+        assertThat(errorLine()).isEqualTo("line 1: expected message 'batch', found 'hangup'");
     }
 
     /**
-     * The simulator dies in the middle of a batch. The error and the exit status must show it, rather than a clean end.
+     * The simulator terminates in the middle of a batch. The error line and the exit status must show that, rather than
+     * a normal end.
      */
     @Test
-    void rejectsInputThatEndsInsideABatch() throws IOException {
-        assertThat(run("batch wall_us=1\n" + START)).isEqualTo(1);
-        assertThat(error()).isEqualTo("line 3: input ends inside a batch");
+    void rejectsInputThatEndsInsideBatch() throws IOException {
+        assertThat(runHost("batch wall_us=1\n" + START_MESSAGE)).isEqualTo(1);
+        assertThat(errorLine()).isEqualTo("line 3: input ended before the last line of the batch");
     }
 
     /**
-     * A deployment leaves out a setting. A default would let it run with limits that nobody chose; the error names
-     * the setting.
+     * A required setting is missing. It must not get a default value, because the load balancer would then run with a
+     * limit that nobody configured. The error names the setting.
      */
     @ParameterizedTest
     @ValueSource(
@@ -285,11 +293,11 @@
                 "profiles.0.window_us",
                 "projects.0.allowance_per_s"
             })
-    void namesAMissingSetting(String setting) throws IOException {
-        String without = START.replaceAll(" " + setting.replace(".", "\\.") + "=\\S*", "");
-        assertThat(without).isNotEqualTo(START);
-        assertThat(run(batch(without))).isEqualTo(1);
-        assertThat(error()).isEqualTo("line 2: up: missing setting '" + setting + "'");
+    void reportsNameOfMissingSetting(String setting) throws IOException {
+        String startWithoutSetting = START_MESSAGE.replaceAll(" " + setting.replace(".", "\\.") + "=\\S*", "");
+        assertThat(startWithoutSetting).isNotEqualTo(START_MESSAGE);
+        assertThat(runHost(batch(startWithoutSetting))).isEqualTo(1);
+        assertThat(errorLine()).isEqualTo("line 2: up: missing setting '" + setting + "'");
     }
 
     @ParameterizedTest
@@ -299,8 +307,8 @@
         "bounds.cancel=true,bounds.cancel=maybe,unknown value 'maybe' in setting 'bounds.cancel'",
         "quantum_us=4000,quantum_us=4.5,bad number '4.5' in setting 'quantum_us'"
     })
-    void namesAnInvalidSetting(String valid, String invalid, String message) throws IOException {
-        assertThat(run(batch(START.replace(valid, invalid)))).isEqualTo(1);
-        assertThat(error()).isEqualTo("line 2: up: " + message);
+    void reportsNameOfInvalidSetting(String valid, String invalid, String expectedError) throws IOException {
+        assertThat(runHost(batch(START_MESSAGE.replace(valid, invalid)))).isEqualTo(1);
+        assertThat(errorLine()).isEqualTo("line 2: up: " + expectedError);
     }
 }
