--- a/src/test/java/gaugegw/simulator/SimulatorHostTest.java
+++ b/src/test/java/gaugegw/simulator/SimulatorHostTest.java
@@ -297,16 +297,20 @@
         String startWithoutSetting = START_MESSAGE.replaceAll(" " + setting.replace(".", "\\.") + "=\\S*", "");
         assertThat(startWithoutSetting).isNotEqualTo(START_MESSAGE);
         assertThat(runHost(batch(startWithoutSetting))).isEqualTo(1);
-        assertThat(errorLine()).isEqualTo("line 2: up: missing setting '" + setting + "'");
+        assertThat(errorLine()).isEqualTo("line 2: up: missing or empty setting '" + setting + "'");
     }
 
     @ParameterizedTest
-    @CsvSource({
-        "balancers=3,balancers=0,invalid setting: balancers",
-        "profiles.0.aim_us=400000,profiles.0.aim_us=-1,invalid setting: aim of class pay",
-        "bounds.cancel=true,bounds.cancel=maybe,unknown value 'maybe' in setting 'bounds.cancel'",
-        "quantum_us=4000,quantum_us=4.5,bad number '4.5' in setting 'quantum_us'"
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "balancers=3|balancers=0|invalid setting 'balancers': 0, must be at least 1",
+                "profiles.0.aim_us=400000|profiles.0.aim_us=-1|"
+                        + "invalid setting 'aim_us' of profile 'pay': -1, must be greater than 0",
+                "bounds.cancel=true|bounds.cancel=maybe|unknown value 'maybe' in setting 'bounds.cancel', "
+                        + "must be one of [0, 1, false, true]",
+                "quantum_us=4000|quantum_us=4.5|bad number '4.5' in setting 'quantum_us', must be a whole number"
+            })
     void reportsNameOfInvalidSetting(String valid, String invalid, String expectedError) throws IOException {
         assertThat(runHost(batch(START_MESSAGE.replace(valid, invalid)))).isEqualTo(1);
         assertThat(errorLine()).isEqualTo("line 2: up: " + expectedError);
