--- a/src/test/java/gaugegw/balancer/EndpointHealthTest.java
+++ b/src/test/java/gaugegw/balancer/EndpointHealthTest.java
@@ -72,8 +72,7 @@
                     20 * MILLIS);
         }
         // The test lasts ten seconds. Each of the six endpoints may fail a few requests before it is detected, and a
-        // few
-        // more after each backoff of 1.2, 2.4 and 4.8 s.
+        // few more after each backoff of 1.2, 2.4 and 4.8 s.
         assertThat(failed).isLessThan(150);
     }
 
@@ -119,8 +118,8 @@
     }
 
     /**
-     * All connections to one endpoint fail. Each attempt there delays a request by the time of a failed connection, so
-     * such attempts must become rare.
+     * All connections to one endpoint fail. Each attempt there delays a request by the time until the connection fails,
+     * so such attempts must become rare.
      */
     @Test
     void unreachableEndpointIsTriedWithGrowingBackoff() {
@@ -157,8 +156,8 @@
     }
 
     /**
-     * One endpoint fails a quarter of its requests. It still does useful work, so it must not be avoided as long as an
-     * endpoint that always fails.
+     * One endpoint fails a quarter of its requests. It still does useful work, so its backoffs must be shorter than
+     * those of an endpoint that always fails.
      */
     @Test
     void endpointWithOccasionalErrorsStaysInUse() {
@@ -178,7 +177,7 @@
 
     /**
      * A proxy of a large fleet uses one endpoint, whose latency rises to twenty times its usual value. The proxy must
-     * switch to another endpoint, and return to the first once its slow responses have decayed.
+     * switch to another endpoint. It must return to the first once the slow responses have decayed in its average.
      */
     @Test
     void slowEndpointIsAvoidedUntilItsSlowResponsesHaveDecayed() {
--- a/src/test/java/gaugegw/balancer/EndpointSelectionTest.java
+++ b/src/test/java/gaugegw/balancer/EndpointSelectionTest.java
@@ -21,7 +21,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Tests the selection of endpoints by earliest deadline, and the weights behind the deadlines. */
+/** Tests the selection of endpoints by earliest deadline, and the weights that the deadlines are computed from. */
 class EndpointSelectionTest {
     private final LoadBalancerDriver driver = new LoadBalancerDriver();
 
@@ -110,7 +110,7 @@
     }
 
     /**
-     * One of two endpoints accepts requests but never responds. By deadline alone it would get every second request.
+     * One of two endpoints accepts requests but never responds. By deadline alone, it would get half of the requests.
      * It must have no more attempts in flight than its fair share; the other requests go to the responsive endpoint.
      */
     @Test
@@ -130,11 +130,12 @@
     }
 
     /**
-     * Endpoints serve a cached key with less work, but proxies do not know of each other's requests. All proxies must
-     * select the same endpoint for a key, whatever their seed, and use another endpoint only while that one is busy.
+     * An endpoint needs less work for a key that it has cached, but a proxy does not know which keys other proxies have
+     * requested there. Proxies with different seeds must select the same endpoint for a key, and another endpoint only
+     * while that one is busy.
      */
     @Test
-    void allProxiesSelectTheSameEndpointForAKey() {
+    void proxiesWithDifferentSeedsSelectTheSameEndpointForAKey() {
         var endpoints = new Endpoint[] {endpoint("a"), endpoint("b"), endpoint("c"), endpoint("d")};
         var endpointOfKey = new HashMap<String, String>();
         for (long seed = 1; seed <= 3; seed++) {
--- a/src/test/java/gaugegw/balancer/IdleConnectionTest.java
+++ b/src/test/java/gaugegw/balancer/IdleConnectionTest.java
@@ -49,7 +49,7 @@
                 .containsExactly(new CloseIdleConnections(endpointId));
     }
 
-    /** An endpoint may be removed without draining first, by being missing from a complete list. */
+    /** An endpoint may be removed without draining first: it is then missing from a complete list. */
     @Test
     void endpointMissingFromASnapshotHasItsConnectionsClosed() {
         driver.snapshot(endpoint("a"), endpoint("b"));
--- a/src/test/java/gaugegw/balancer/InvariantChecker.java
+++ b/src/test/java/gaugegw/balancer/InvariantChecker.java
@@ -18,10 +18,10 @@
 import java.util.Map;
 
 /**
- * Keeps its own record of all requests and attempts, and asserts the following invariants at each action:
+ * Records all requests and attempts independently of the load balancer, and asserts the following invariants:
  *
  * <ul>
- *   <li>Each request gets exactly one final answer, in time.
+ *   <li>Each request gets exactly one final answer, no later than three ticks after its deadline.
  *   <li>No request takes effect twice.
  *   <li>No attempt starts at an endpoint that is not ready.
  *   <li>Attempts at an endpoint in slow start stay within the budget.
@@ -29,7 +29,7 @@
  * </ul>
  */
 final class InvariantChecker {
-    /** Upper bound on the capacity of a fully warm endpoint, as its mean latency is over 25 ms. */
+    /** Upper bound on the full capacity of an endpoint. The mean latency is over 25 ms, and 1 s / 25 ms is 40. */
     private static final int MAX_RESPONSES_PER_SECOND = 40;
 
     /** An attempt, which is in flight until it has an outcome. */
@@ -98,7 +98,7 @@
         return request != null && request.attempts.get(attempt).outcome == null;
     }
 
-    /** Records the end of an attempt in flight. Returns whether its request is finished by now. */
+    /** Records the end of an attempt in flight. Returns whether its request now has its final answer. */
     boolean attemptEnded(String requestId, int attempt, AttemptOutcome outcome) {
         Request request = requests.get(requestId);
         request.attempts.get(attempt).outcome = outcome;
@@ -109,7 +109,7 @@
         return request.finished;
     }
 
-    /** Records that the client has disconnected. Returns false if the request was already finished. */
+    /** Records that the client has disconnected. Returns false if the request already had its final answer. */
     boolean clientDisconnected(String requestId) {
         Request request = requests.get(requestId);
         if (request == null || request.finished) {
@@ -120,6 +120,7 @@
         return true;
     }
 
+    /** Records a final answer from the load balancer. Asserts that the request had none before. */
     void finished(String requestId) {
         Request request = requests.get(requestId);
         assertThat(request.finished)
@@ -144,11 +145,13 @@
         finished(requestId);
     }
 
+    /** Asserts that cancellation is permitted. Returns the attempt to cancel. */
     Attempt attemptCancelled(CancelAttempt cancel) {
         assertThat(settings.limits().cancellation()).isTrue();
         return requests.get(cancel.requestId()).attempts.get(cancel.attempt());
     }
 
+    /** Asserts that the load balancer watches the endpoint list only if updates arrive on request. */
     void endpointsWatched() {
         assertThat(settings.limits().endpointUpdatesOnRequest()).isTrue();
     }
@@ -156,7 +159,7 @@
     /**
      * Records the start of an attempt and asserts that it may start now.
      *
-     * @param endpoint the present list entry of the endpoint, or null if there is none
+     * @param endpoint the current list entry of the endpoint, or null if there is none
      * @return the number of the attempt within its request, from 0
      */
     int attemptStarted(StartAttempt start, Endpoint endpoint, long nowUs) {
@@ -199,7 +202,7 @@
                 .isTrue();
     }
 
-    /** Asserts that attempts at an endpoint in slow start stay within this proxy's part of the overload limit. */
+    /** Asserts that attempts at an endpoint in slow start stay within this proxy's share of the overload limit. */
     private void checkSlowStartBudget(Endpoint endpoint, long nowUs) {
         SafetyLimits safetyLimits = settings.safetyLimits();
         if (endpoint.startedAtUs() == 0 || nowUs - endpoint.startedAtUs() >= safetyLimits.slowStartUs()) {
--- a/src/test/java/gaugegw/balancer/LargeFleet.java
+++ b/src/test/java/gaugegw/balancer/LargeFleet.java
@@ -10,7 +10,7 @@
 
 /**
  * A fleet with far more proxies than endpoints: 400 proxies share 60 endpoints. With three attempts in flight at each
- * endpoint, one proxy's part of them is 3 x 60 / 400, which is less than half an attempt.
+ * endpoint, the share of one proxy is 3 x 60 / 400, which is less than half an attempt.
  */
 final class LargeFleet {
     static final int PROXIES = 400;
--- a/src/test/java/gaugegw/balancer/LargeFleetSelectionTest.java
+++ b/src/test/java/gaugegw/balancer/LargeFleetSelectionTest.java
@@ -98,7 +98,8 @@
         String inFlight = proxy.submit(READ);
         proxy.nowUs += MILLIS;
         String next = proxy.submit(READ);
-        // The latency objective is 600 ms; 0.4 of it is 240 ms.
+        // The latency objective is 600 ms; 0.4 of it, two latency budgets, is 240 ms. An endpoint without progress for
+        // that time is suspect, and another endpoint is in the subset instead.
         proxy.advance(230 * MILLIS);
         assertThat(proxy.attemptCount(next)).isZero();
         proxy.advance(50 * MILLIS);
--- a/src/test/java/gaugegw/balancer/RandomEventSimulation.java
+++ b/src/test/java/gaugegw/balancer/RandomEventSimulation.java
@@ -36,7 +36,8 @@
 
 /**
  * Runs one load balancer for 25 simulated seconds with random settings and random valid events. In the last 5 s no
- * requests arrive. All random numbers come from one generator, so that a seed always gives the same run.
+ * requests arrive and the endpoint list does not change, so that only attempts, timers and disconnects are left. All
+ * random numbers come from one generator, so that a seed always gives the same run.
  */
 final class RandomEventSimulation {
     /** Time between two rounds of events, in microseconds. */
@@ -88,7 +89,7 @@
         return checker.attemptsStarted();
     }
 
-    // The order in which random numbers are drawn must not change, as it determines the run that a seed gives.
+    // The order of the calls of the random number generator must not change: it determines the run that a seed gives.
     private BalancerSettings randomSettings(long seed) {
         List<RequestClass> requestClasses = randomRequestClasses();
         return TestSettings.settings()
--- a/src/test/java/gaugegw/balancer/RandomEventsInvariantTest.java
+++ b/src/test/java/gaugegw/balancer/RandomEventsInvariantTest.java
@@ -7,8 +7,8 @@
 
 /**
  * Checks invariants of the load balancer with random valid events and random settings: endpoints are added and removed,
- * attempts end with every outcome, clients disconnect and discovery calls fail. This finds faults that occur only with
- * an unusual order of events.
+ * attempts succeed, fail and are cancelled, clients disconnect, and calls to discovery fail. This finds faults that
+ * occur only with an unusual order of events.
  */
 class RandomEventsInvariantTest {
     @ParameterizedTest
--- a/src/test/java/gaugegw/balancer/SlowStartFleetSimulation.java
+++ b/src/test/java/gaugegw/balancer/SlowStartFleetSimulation.java
@@ -35,8 +35,8 @@
  * Simulates a fleet of proxies that share endpoints, on one simulated clock. At 30 s some endpoints restart and as many
  * are added. At 44 s a burst of requests begins, which lasts until slow start is over.
  *
- * <p>Traffic is uneven: one proxy in five gets eight times as many requests as each of the others. The load before the
- * burst may be low, because the burst would then reveal a budget that accumulates while it is not used.
+ * <p>Traffic is uneven: one proxy in five gets eight times as many requests as each of the others. With a low load
+ * before the burst, proxies that accumulate unused budget would exceed the bound at the start of the burst.
  */
 final class SlowStartFleetSimulation {
     private static final SafetyLimits SAFETY_LIMITS =
@@ -57,10 +57,10 @@
     private static final long BURST_AT_US = 44 * SECONDS;
     private static final long END_US = RESTART_AT_US + SAFETY_LIMITS.slowStartUs();
 
-    /** Load as a fraction of the full capacity of all original endpoints. */
+    /** Load until the restart, as a fraction of the full capacity of all original endpoints. */
     private static final double LOAD_BEFORE_RESTART = 0.5;
 
-    /** Load as a fraction of the full capacity of all original endpoints. */
+    /** Load during the burst, as a fraction of the full capacity of all original endpoints. */
     private static final double LOAD_IN_BURST = 1.5;
 
     private record ScheduledTask(long atUs, long order, Runnable task) {}
@@ -142,6 +142,7 @@
         publish(UpdateKind.DELTA, changes);
     }
 
+    /** Publishes the removal of an endpoint that does not exist. Even so, each proxy refreshes its weights. */
     private void changeEndpointList() {
         publish(UpdateKind.DELTA, List.of(endpointInState("other" + nowUs / SECONDS, EndpointState.GONE)));
         schedule(nowUs + SECONDS, this::changeEndpointList);
@@ -197,7 +198,7 @@
         schedule(nowUs + latencyUs, () -> handle(index, end));
     }
 
-    /** Returns the present capacity of an endpoint, as a fraction of its full capacity. */
+    /** Returns the current capacity of an endpoint, as a fraction of its full capacity. */
     private double capacity(Endpoint endpoint) {
         return endpoint.startedAtUs() == 0 ? 1 : capacityAfter(nowUs - endpoint.startedAtUs());
     }
@@ -221,13 +222,16 @@
         long inWindow = attemptTimesUs.stream()
                 .filter(timeUs -> timeUs > nowUs - SAFETY_LIMITS.overloadWindowUs())
                 .count();
-        // The attempts of independent proxies add up randomly, so the bound is the budget plus two standard deviations,
-        // plus two.
+        // The proxies are independent, so the number of attempts varies randomly around its mean. The bound is
+        // therefore the budget plus two standard deviations (of a Poisson distribution), plus two.
         double budget = budget(endpoint);
         maxBoundUtilization = Math.max(maxBoundUtilization, inWindow / (budget + 2 * Math.sqrt(budget) + 2));
     }
 
-    /** Returns the most attempts that an endpoint got within an overload window, as a fraction of the bound then. */
+    /**
+     * Returns the maximum, over all endpoints in slow start and all overload windows, of the attempts in the window as
+     * a fraction of the bound at its end.
+     */
     double maxBoundUtilization() {
         return maxBoundUtilization;
     }
--- a/src/test/java/gaugegw/balancer/SlowStartFleetTest.java
+++ b/src/test/java/gaugegw/balancer/SlowStartFleetTest.java
@@ -24,7 +24,7 @@
         "400, 8, 0.05, false",
         "400, 9, 0.5, true"
     })
-    void fleetStaysWithinTheSlowStartBudgetAndUsesAFairShareOfIt(
+    void fleetStaysWithinTheSlowStartBudgetAndUsesAtLeastATenthOfIt(
             int proxies, long seed, double loadBeforeBurst, boolean listChangesEachSecond) {
         var fleet = new SlowStartFleetSimulation(proxies, seed, loadBeforeBurst, listChangesEachSecond);
         fleet.run();
--- a/src/test/java/gaugegw/balancer/SlowStartTest.java
+++ b/src/test/java/gaugegw/balancer/SlowStartTest.java
@@ -20,16 +20,16 @@
  */
 class SlowStartTest {
     /**
-     * Upper bound on the attempts in one second: the number of requests of 50 ms each that an endpoint serves in that
-     * time at slightly more than 40% of its capacity, multiplied by the overload multiple.
+     * Upper bound on the attempts in one second: 20 requests of 50 ms each, at 45% of the capacity, times the overload
+     * multiple of 4. The capacity rises from 40% to 47.5% in that second.
      */
     private static final int MAX_ATTEMPTS = 36;
 
     private final LoadBalancerDriver driver = new LoadBalancerDriver();
 
     /**
-     * The endpoint in slow start is the only one left. The whole traffic would overload it, so it must get no more
-     * attempts than its budget.
+     * The only ready endpoint is in slow start. All of the traffic would overload it, so it must get no more attempts
+     * than its budget permits.
      */
     @Test
     void onlyEndpointGetsNoMoreThanItsBudget() {
@@ -88,8 +88,7 @@
             attemptsAtCold += proxyOfNine.serve(READ, 10 * MILLIS).equals("s3") ? 1 : 0;
         }
         // Similar endpoints serve 25 requests per second for this proxy. In the two seconds of the test, the new
-        // endpoint
-        // has 40% to 55% of that capacity. The budget is 0.4 times the overload multiple of 4 times that.
+        // endpoint has 40% to 55% of that capacity. The budget is 0.4 times the overload multiple of 4 times that.
         assertThat(attemptsAtCold).isBetween(15, 44);
     }
 
@@ -115,7 +114,7 @@
         assertThat(attempts).isLessThan(20);
     }
 
-    /** After slow start there is no budget any more, so the only endpoint gets every request. */
+    /** After slow start the budget no longer applies, so the only endpoint gets every request. */
     @Test
     void endpointGetsAllTrafficAfterSlowStart() {
         driver.snapshot(endpointStartedAt("a", driver.nowUs - SAFETY_LIMITS.slowStartUs()));
