--- a/src/main/java/gaugegw/proxy/transport/DescriptorBudget.java
+++ b/src/main/java/gaugegw/proxy/transport/DescriptorBudget.java
@@ -3,9 +3,9 @@
 /**
  * Divides the file descriptors that the process may have open among its uses.
  *
- * @param softConnectionLimit the number of connections of clients and to backends above which no more are accepted and
- *     idle ones are evicted
- * @param maxClients the number of connections of clients above which the same applies
+ * @param softConnectionLimit the number of client and backend connections above which no client connection is accepted
+ *     and idle connections are evicted
+ * @param maxClients the number of client connections above which no further one is accepted and idle ones are evicted
  * @param hardConnectionLimit the number of connections that may be open at any time, including those that are accepted
  *     in one iteration of the event loop before accepting is paused
  */
@@ -36,7 +36,8 @@
         int hardConnectionLimit =
                 descriptorLimit - RUNTIME_DESCRIPTORS - DISCOVERY_DESCRIPTORS - ENVIRONMENT_DESCRIPTORS;
         int softConnectionLimit = hardConnectionLimit - SocketTransport.MAX_ACCEPTS_PER_ITERATION;
-        // A request needs a client's connection and one to a backend: clients must leave enough for the latter.
+        // A request needs a client connection and a backend connection: client connections must leave enough
+        // descriptors for those to backends.
         int maxClients = softConnectionLimit * 5 / 8;
         return new DescriptorBudget(softConnectionLimit, maxClients, hardConnectionLimit);
     }
