--- a/src/main/java/gaugegw/proxy/client/ClosingSequence.java
+++ b/src/main/java/gaugegw/proxy/client/ClosingSequence.java
@@ -49,8 +49,8 @@
      */
     private FullHttpResponse finalError;
     /**
-     * Whether the client has shut down its output, or has sent so many bytes that it is handled as if it had. It may
-     * still be reading. Independent of the state.
+     * Whether the client has shut down its output, or has reached the limit on unserved bytes and is handled as if it
+     * had. It may still be reading. Independent of the state.
      */
     private boolean clientOutputEnded;
 
--- a/src/main/java/gaugegw/proxy/client/EventLoopDelayEstimator.java
+++ b/src/main/java/gaugegw/proxy/client/EventLoopDelayEstimator.java
@@ -10,8 +10,8 @@
  * client would give up before it gets its response.
  *
  * <p>A periodic task detects a delay: its tick is then overdue. The loop may run the overdue tick before it reads the
- * bytes that were received during the delay, so bytes that are read before the following tick count as received when the
- * delay began. Used on the event loop only.
+ * bytes that were received during the delay, so bytes that are read before the following tick count as received when
+ * the delay began. Used on the event loop only.
  */
 final class EventLoopDelayEstimator {
     /**
