--- a/src/test/java/gaugegw/proxy/client/ClientConnectionClosingTest.java
+++ b/src/test/java/gaugegw/proxy/client/ClientConnectionClosingTest.java
@@ -16,7 +16,8 @@
 
     /**
      * A client connects and sends nothing, or sends an incomplete request and then single bytes. Its connection must be
-     * closed after a time limit, which the single bytes must not extend.
+     * closed after a time limit, which the single bytes must not extend. An incomplete request must first get an error
+     * response.
      */
     @ParameterizedTest
     @ValueSource(strings = {"", "GET /api HT", "POST /api HTTP/1.1\r\nContent-Length: 900\r\n\r\nhalf"})
@@ -47,7 +48,7 @@
         }
     }
 
-    /** A connection is closed if no further request arrives on it. */
+    /** A client sends no further request after a response. Its connection must be closed. */
     @Test
     void closesIdleConnection() throws Exception {
         try (var proxy = new ProxyFixture(NO_ACTIONS);
@@ -77,7 +78,7 @@
             } catch (IOException e) {
                 // Expected: the proxy has closed the connection.
             }
-            // The kernel buffers on both sides may hold a part of it.
+            // Not all of this was read by the proxy: part of it is in the kernel buffers of both sides.
             assertThat(sent).isLessThan(20_000_000);
         }
     }
--- a/src/test/java/gaugegw/proxy/client/ClientDisconnectTest.java
+++ b/src/test/java/gaugegw/proxy/client/ClientDisconnectTest.java
@@ -49,8 +49,8 @@
     }
 
     /**
-     * The real load balancer queues requests, and the client of one of them disconnects. When there is capacity, the
-     * other requests must be sent but not this one, and the proxy must keep no state of it.
+     * The real load balancer queues requests, and the client of one of them disconnects. When responses free capacity,
+     * the other requests must be sent but not this one, and the proxy must keep no state for it.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -93,7 +93,7 @@
                     .hasSize(clients.size() - 1)
                     .doesNotContain("r" + queued)
                     .doesNotHaveDuplicates();
-            // No state of it remains: neither the request nor the connection.
+            // Neither the request nor its client's connection is left.
             assertThat(proxy.openRequests()).isZero();
             ScriptedServer.await(() -> proxy.connectedClients() == clients.size() - 1);
         } finally {
--- a/src/test/java/gaugegw/proxy/client/ClientHalfCloseTest.java
+++ b/src/test/java/gaugegw/proxy/client/ClientHalfCloseTest.java
@@ -13,8 +13,8 @@
     private static final ProxyFixture.StubLoadBalancer NO_ACTIONS = (event, actions) -> {};
 
     /**
-     * A client shuts down its output while its request is in flight. It may have gone, so the proxy does no more work
-     * for it. But it may still read, so it must get a complete response.
+     * A client shuts down its output while its request is in flight. The proxy can't tell whether the client has gone
+     * or is still reading: it must do no more work for the request, but must send a complete response.
      */
     @Test
     void requestInFlightIsFailedAfterHalfClose() throws Exception {
--- a/src/test/java/gaugegw/proxy/client/RequestPipeliningTest.java
+++ b/src/test/java/gaugegw/proxy/client/RequestPipeliningTest.java
@@ -36,8 +36,8 @@
     }
 
     /**
-     * A client sends hundreds of requests at once. A few of them are served. The others must be rejected one by one,
-     * and must not take up memory until then.
+     * A client sends hundreds of requests at once. A few of them are served. Each of the others must get its own
+     * rejection, and must not be stored until then.
      */
     @Test
     @Timeout(30)
@@ -69,8 +69,8 @@
     }
 
     /**
-     * A malformed request follows a request in flight. The error must be sent after the response to that request, and
-     * not in its place.
+     * A malformed request follows a request in flight. The error must be sent after the response to that request: the
+     * client would take an earlier one for that response.
      */
     @Test
     void malformedRequestIsRejectedAfterEarlierResponses() throws Exception {
--- a/src/test/java/gaugegw/proxy/client/UnreadDisconnectTest.java
+++ b/src/test/java/gaugegw/proxy/client/UnreadDisconnectTest.java
@@ -38,10 +38,10 @@
     }
 
     /**
-     * Disconnects a client, and waits until the proxy's last read of the connection is so long ago that the proxy reads
-     * it again before an attempt.
+     * Disconnects a client, and waits until the proxy's last read of the connection is longer ago than the minimum
+     * interval between two reads, so that the proxy reads the connection again before an attempt.
      *
-     * @param kind {@code close}, {@code reset}, or {@code end} to shut down the output alone
+     * @param kind {@code close}, {@code reset}, or {@code end} to shut down only the output
      */
     private static void disconnectUnread(RawConnection client, String kind) throws Exception {
         if (kind.equals("end")) {
@@ -79,7 +79,7 @@
             attempt.read();
             queued.send(ProxyFixture.getWithLongTimeout("r2"));
             while (!proxy.awaitEvent(RequestArrived.class).requestId().equals("r2")) {
-                // Skips the request before.
+                // Skips the arrival of r1.
             }
             try {
                 attempt.send(ScriptedServer.response("500 Internal Server Error", "x"));
@@ -140,8 +140,8 @@
     }
 
     /**
-     * Clients send a request and disconnect while the event loop is blocked. Their connections must be read to the end
-     * before a request is dispatched, so that no request of theirs is.
+     * Clients send a request and disconnect while the event loop is blocked. The proxy must read each connection to its
+     * end before it dispatches a request from it, so none of these requests may be dispatched.
      */
     @Test
     void requestWhoseClientHasDisconnectedIsNotDispatched() throws Exception {
--- a/src/test/java/gaugegw/proxy/lifecycle/ProxyServerTest.java
+++ b/src/test/java/gaugegw/proxy/lifecycle/ProxyServerTest.java
@@ -22,10 +22,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The graceful shutdown of a proxy, and how it keeps within its limit on file descriptors. */
+/** Serving with the production load balancer, graceful shutdown, and the limit on client connections. */
 class ProxyServerTest {
     /** A readiness check. The connection stays open after the response, even if the proxy is not ready. */
-    private static final String READY = "GET /ready HTTP/1.1\r\n\r\n";
+    private static final String GET_READY = "GET /ready HTTP/1.1\r\n\r\n";
 
     private static final String LONGEST_BODY = "x".repeat(HttpLimits.MAX_BODY_BYTES);
     /** Number of responses with {@link #LONGEST_BODY} that exceed the kernel buffers of both sides. */
@@ -77,7 +77,7 @@
     /**
      * A drain begins with one request in flight, one connection idle and one in use, while new connections still
      * arrive. The request in flight and the requests on new connections must be answered. The connections must stay
-     * open for most of the drain, and be closed before its end, with a response or while idle.
+     * open for most of the drain. Before its end, those in use must be closed after a response, and idle ones directly.
      */
     @Test
     void answersAllRequestsInFlightDuringADrain() throws Exception {
@@ -89,8 +89,8 @@
             busy.send(ProxyFixture.get("r1"));
             RawConnection slowAttempt = backend.accept();
             slowAttempt.read();
-            idle.send(READY).read();
-            used.send(READY).read();
+            idle.send(GET_READY).read();
+            used.send(GET_READY).read();
             CompletableFuture<Void> drained = CompletableFuture.runAsync(proxy::drain);
             try (var late = proxy.connectClient()) {
                 late.send(ProxyFixture.get("r2"));
@@ -100,16 +100,16 @@
                 assertThat(late.read().body()).isEqualTo("late");
             }
             // Connections stay open after the proxy stops accepting new ones: other proxies may have just started.
-            while (accepts(proxy)) {
-                assertThat(used.send(READY).read().header("Connection")).isNull();
+            while (acceptsConnections(proxy)) {
+                assertThat(used.send(GET_READY).read().header("Connection")).isNull();
             }
-            assertThat(used.send(READY).read().header("Connection")).isNull();
+            assertThat(used.send(GET_READY).read().header("Connection")).isNull();
             assertThat(drained).isNotDone();
             slowAttempt.send(ScriptedServer.ok("slow"));
             assertThat(busy.read().body()).isEqualTo("slow");
-            RawConnection.Message response = used.send(READY).read();
+            RawConnection.Message response = used.send(GET_READY).read();
             while (response.header("Connection") == null) {
-                response = used.send(READY).read();
+                response = used.send(GET_READY).read();
             }
             assertThat(response.header("Connection")).isEqualTo("close");
             assertThat(used.awaitClose()).isTrue();
@@ -120,8 +120,8 @@
     }
 
     /**
-     * A request is still in flight when the time for the drain is up. It must be answered with a failure, or the
-     * process would end without a response to it.
+     * A request is still in flight shortly before the process must end. It must be answered with a failure, as the
+     * process would otherwise end without a response to it.
      */
     @Test
     void failsRequestsInFlightAtTheEndOfTheDrain() throws Exception {
@@ -156,13 +156,13 @@
     }
 
     /**
-     * A client is slow to read its responses when a drain begins, or when the proxy runs short of connections. Its
-     * connection only becomes idle once the responses are written, so neither the drain nor an eviction may truncate
-     * them.
+     * A client is slow to read its responses when a drain begins, or when the proxy has reached its limit on client
+     * connections. Its connection only becomes idle once the responses are written, so neither the drain nor an
+     * eviction may truncate them.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void completesResponsesThatClientsAreSlowToRead(boolean shortOfConnections) throws Exception {
+    void completesResponsesThatClientsAreSlowToRead(boolean atConnectionLimit) throws Exception {
         var clients = new ArrayList<RawConnection>();
         try (var backend = new ScriptedServer();
                 var proxy = new ProxyFixture(
@@ -177,9 +177,9 @@
                         backend);
                 var slow = proxy.connectClient()) {
             backend.respondToAll(ScriptedServer.ok(LONGEST_BODY));
-            leaveUnread(proxy, slow, RESPONSES_EXCEEDING_KERNEL_BUFFERS);
+            sendWithoutReading(proxy, slow, RESPONSES_EXCEEDING_KERNEL_BUFFERS);
             CompletableFuture<Void> drained = CompletableFuture.completedFuture(null);
-            if (shortOfConnections) {
+            if (atConnectionLimit) {
                 // These clients all have a request in flight, so only the slow client could be evicted for them.
                 for (int i = 0; i < DescriptorBudget.of(128).maxClients(); i++) {
                     RawConnection client = proxy.connectClient();
@@ -190,7 +190,7 @@
             } else {
                 RawConnection idle = proxy.connectClient();
                 clients.add(idle);
-                idle.send(READY).read();
+                idle.send(GET_READY).read();
                 drained = CompletableFuture.runAsync(proxy::drain);
                 assertThat(idle.awaitClose()).isTrue();
             }
@@ -214,7 +214,7 @@
                 var proxy = new ProxyFixture(ProxyFixture.singleAttemptTo("s0"), backend);
                 var slow = proxy.connectClient()) {
             backend.respondToAll(ScriptedServer.ok(LONGEST_BODY));
-            leaveUnread(proxy, slow, RESPONSES_EXCEEDING_KERNEL_BUFFERS - 1);
+            sendWithoutReading(proxy, slow, RESPONSES_EXCEEDING_KERNEL_BUFFERS - 1);
             slow.send(ProxyFixture.get("last").replace("Host:", "Connection: close\r\nHost:"));
             proxy.awaitEvent(AttemptEnded.class);
             slow.send(ProxyFixture.get("behind"));
@@ -237,8 +237,8 @@
                 var slow = proxy.connectClient();
                 var idle = proxy.connectClient()) {
             backend.respondToAll(ScriptedServer.ok(LONGEST_BODY));
-            leaveUnread(proxy, slow, RESPONSES_EXCEEDING_KERNEL_BUFFERS);
-            idle.send(READY).read();
+            sendWithoutReading(proxy, slow, RESPONSES_EXCEEDING_KERNEL_BUFFERS);
+            idle.send(GET_READY).read();
             CompletableFuture<Void> drained = CompletableFuture.runAsync(proxy::drain);
             assertThat(idle.awaitClose()).isTrue();
             slow.send(ProxyFixture.get("behind"));
@@ -274,7 +274,7 @@
                         backend);
                 var slow = proxy.connectClient()) {
             backend.respondToAll(ScriptedServer.ok(LONGEST_BODY));
-            leaveUnread(proxy, slow, responses);
+            sendWithoutReading(proxy, slow, responses);
             slow.send(ProxyFixture.get("last").replace("Host:", "Connection: close\r\nHost:"));
             proxy.awaitEvent(RequestArrived.class);
             slow.send(ProxyFixture.get("behind"));
@@ -289,8 +289,8 @@
         }
     }
 
-    /** Sends requests one after the other, without reading the responses. */
-    private static void leaveUnread(ProxyFixture proxy, RawConnection client, int responses) throws Exception {
+    /** Sends requests, each after the attempt for the previous one has ended, without reading the responses. */
+    private static void sendWithoutReading(ProxyFixture proxy, RawConnection client, int responses) throws Exception {
         for (int i = 0; i < responses; i++) {
             client.send(ProxyFixture.get("r" + i));
             proxy.awaitEvent(AttemptEnded.class);
@@ -304,7 +304,7 @@
         }
     }
 
-    private static boolean accepts(ProxyFixture proxy) {
+    private static boolean acceptsConnections(ProxyFixture proxy) {
         try {
             proxy.connectClient().close();
             return true;
@@ -325,7 +325,7 @@
             backend.respondToAll(ScriptedServer.ok("x"));
             RawConnection idle = proxy.connectClient();
             clients.add(idle);
-            assertThat(idle.send(READY).read().status()).isEqualTo(503);
+            assertThat(idle.send(GET_READY).read().status()).isEqualTo(503);
             for (int i = 0; i < 300; i++) {
                 clients.add(proxy.connectClient());
             }
@@ -341,11 +341,11 @@
     }
 
     /**
-     * The proxy runs short of connections while most of them have a request in flight. It must close connections with
+     * The proxy is near its limit on client connections, all with a request in flight. It must close connections with
      * their responses: unlike an eviction, such a close can't happen while the client's next request is on its way.
      */
     @Test
-    void closesConnectionsWithTheirResponsesWhenShortOfConnections() throws Exception {
+    void closesConnectionsWithTheirResponsesNearTheLimit() throws Exception {
         var clients = new ArrayList<RawConnection>();
         try (var proxy = new ProxyFixture((event, actions) -> {}, 128, 15_000_000)) {
             for (int i = 0; i < 40; i++) {
@@ -354,7 +354,7 @@
             }
             RawConnection next = proxy.connectClient();
             clients.add(next);
-            assertThat(next.send(READY).read().header("Connection")).isEqualTo("close");
+            assertThat(next.send(GET_READY).read().header("Connection")).isEqualTo("close");
         } finally {
             for (RawConnection client : clients) {
                 client.close();
@@ -363,8 +363,8 @@
     }
 
     /**
-     * The proxy has as many connections as it may have, all with a request in flight. The next client must wait in the
-     * backlog, and be accepted and served once other connections are closed.
+     * The proxy has reached its limit on client connections, and all of them have a request in flight. The next client
+     * must wait in the backlog, and must be accepted and served once other connections are closed.
      */
     @Test
     void acceptsAgainOnceConnectionsAreClosed() throws Exception {
--- a/src/test/java/gaugegw/proxy/lifecycle/ServeCommandTest.java
+++ b/src/test/java/gaugegw/proxy/lifecycle/ServeCommandTest.java
@@ -9,8 +9,8 @@
 class ServeCommandTest {
     /**
      * A proxy restarts with an endpoint list that has never changed. It can't tell this from its first start, so it
-     * runs the warm-up. It must still be ready in time: the start of the runtime, the warm-up and the first call to
-     * discovery together may not take longer than a restart may.
+     * runs the warm-up. The start of the runtime, the warm-up and the first call to discovery must together fit into
+     * the 6 s in which a restarted proxy must be ready.
      */
     @Test
     void warmUpLeavesTimeForTheOtherStepsOfAStart() {
--- a/src/test/java/gaugegw/proxy/lifecycle/SignalHandlersTest.java
+++ b/src/test/java/gaugegw/proxy/lifecycle/SignalHandlersTest.java
@@ -16,7 +16,7 @@
 
 /**
  * The signals that the program handles, both when it receives them and when they were already ignored at its start.
- * Each test runs the program in a process of its own.
+ * Each test runs the program in a separate process.
  */
 class SignalHandlersTest {
     private static final String FIRST_CALL = "GET /v1/endpoints HTTP/1.1";
@@ -33,7 +33,7 @@
 
     /**
      * SIGTERM arrives before the proxy listens, while it waits for the first response of its local discovery agent. The
-     * process must exit as it does when it serves clients, with status 0.
+     * process must exit with status 0, as it does once it serves clients.
      */
     @Test
     void exitsCleanlyOnSigtermBeforeItListens() throws Exception {
@@ -106,8 +106,8 @@
     }
 
     /**
-     * A supervisor starts the process with SIGTERM ignored. Java code can't receive the signal then, which must be
-     * logged.
+     * A supervisor starts the process with SIGTERM ignored. Java code can't receive the signal then, so the process
+     * will not drain. This must be logged.
      */
     @Test
     void logsThatSigtermIsIgnored() throws Exception {
--- a/src/test/java/gaugegw/proxy/lifecycle/WarmupTest.java
+++ b/src/test/java/gaugegw/proxy/lifecycle/WarmupTest.java
@@ -14,7 +14,7 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** The warm-up must run the code that serves requests, or it would compile code that is not used. */
+/** The warm-up must run the code that serves requests, so that this code is loaded and compiled. */
 class WarmupTest {
     @Test
     void servesSyntheticRequests() throws Exception {
@@ -24,9 +24,9 @@
     }
 
     /**
-     * During the warm-up the event loop always has work, on a fraction of a CPU core. A thread that never waits looks
-     * like one that hangs. So the warm-up must pause between its rounds, and the event loop then waits as it does in
-     * production.
+     * On a fraction of a CPU core, a warm-up without pauses would keep the event loop busy until its end. A thread that
+     * never waits looks like one that hangs. So the warm-up must pause between its rounds, and the event loop must wait
+     * in these pauses, as it does in production.
      */
     @Test
     void letsTheEventLoopWaitBetweenRounds() throws Exception {
--- a/src/test/java/gaugegw/proxy/testing/FullBacklog.java
+++ b/src/test/java/gaugegw/proxy/testing/FullBacklog.java
@@ -36,8 +36,8 @@
     }
 
     /**
-     * Empties the backlog, then accepts and returns the connection of the client whose connect was waiting. Its kernel
-     * sends the SYN again.
+     * Empties the backlog, then accepts and returns the connection of the client whose connect was waiting: that
+     * client's kernel repeats the SYN until it is answered.
      */
     public RawConnection acceptWaitingClient() throws IOException {
         server.setSoTimeout(10_000);
--- a/src/test/java/gaugegw/proxy/testing/ProxyFixture.java
+++ b/src/test/java/gaugegw/proxy/testing/ProxyFixture.java
@@ -65,7 +65,7 @@
             config -> config.replaceAll("(aim|deadline|window)_us\":\\d+", "$1_us\":60000000")
                     .replace("connect_timeout_us\":200000", "connect_timeout_us\":60000000");
 
-    /** A load balancer that a test provides; unlike the real one, it is not passed the time. */
+    /** A load balancer that a test provides; unlike the real one, it does not receive the current time. */
     public interface StubLoadBalancer {
         void handle(Event event, Consumer<Action> actions);
     }
@@ -76,7 +76,7 @@
     }
 
     /**
-     * Starts a proxy with given limits.
+     * Starts a proxy with a given limit on descriptors and a given idle timeout of the backends.
      *
      * @param sockets the limit on descriptors in the configuration
      * @param idleUs the time after which a backend closes an idle connection, in microseconds
@@ -185,7 +185,11 @@
         return "{\"version\":%d,\"full\":%b,\"servers\":[%s]}".formatted(version, full, String.join(",", entries));
     }
 
-    /** Returns a load balancer that makes one attempt for each request and fails the request if the attempt fails. */
+    /**
+     * Returns a load balancer that makes one attempt for each request and fails the request if the attempt fails.
+     *
+     * @param backend the id of the endpoint, such as {@code s0}
+     */
     public static StubLoadBalancer singleAttemptTo(String backend) {
         return singleAttemptTo(backend, 0);
     }
@@ -221,8 +225,8 @@
     }
 
     /**
-     * Responds to the watch's first call to discovery with changed entries. Returns the connection of the next call,
-     * which has been read.
+     * Responds to the watch's first call to discovery with changed entries. Waits for the next call and returns its
+     * connection, from which the call has been read.
      */
     public RawConnection answerWatchCall(String... entries) throws IOException {
         RawConnection watch = discovery.accept();
@@ -239,7 +243,7 @@
                 + "\r\nX-Priority-Class: read\r\nX-Tenant-Id: acme\r\nX-Timeout: 1900m\r\n\r\n";
     }
 
-    /** As {@link #get}, with a timeout that is longer than any test. */
+    /** As {@link #get}, with a timeout of 60 s, so that it does not expire during a test. */
     public static String getWithLongTimeout(String id) {
         return get(id).replace("1900m", "60000m");
     }
@@ -257,8 +261,8 @@
     }
 
     /**
-     * Waits until the proxy has handled everything that it received before this call: it makes a readiness check, which
-     * the event loop handles afterwards.
+     * Waits until the proxy has handled everything that it received before this call. To that end, makes a readiness
+     * check, which the event loop handles after its earlier input.
      */
     public void awaitInputHandled() throws IOException {
         try (RawConnection probe = connectClient()) {
--- a/src/test/java/gaugegw/proxy/testing/ProxyProcess.java
+++ b/src/test/java/gaugegw/proxy/testing/ProxyProcess.java
@@ -15,7 +15,7 @@
 import java.util.stream.Stream;
 
 /**
- * The program in a process of its own, started by the {@code run} command of {@code deploy/balancer.toml} with the
+ * The program in a separate process, started by the {@code run} command of {@code deploy/balancer.toml} with the
  * classes under test.
  */
 public final class ProxyProcess implements Closeable {
@@ -38,7 +38,7 @@
     /**
      * Starts the program with default signal handling, even if the tests were started with signals ignored.
      *
-     * @param shellPrefix shell commands that run first, in the shell that then becomes the program
+     * @param shellPrefix shell commands that run first, in the shell that is then replaced by the program
      */
     public static ProxyProcess start(Path config, String shellPrefix) throws IOException {
         String run = Files.readAllLines(Path.of("deploy", "balancer.toml")).stream()
@@ -102,6 +102,7 @@
         }
     }
 
+    /** Sends the process a signal, whose name is given without the prefix {@code SIG}. */
     public void signal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
                 .inheritIO()
@@ -109,6 +110,7 @@
                 .waitFor();
     }
 
+    /** Waits until the process has ended, and returns its exit status. */
     public int awaitExit() throws InterruptedException {
         ScriptedServer.await(() -> !process.isAlive());
         return process.exitValue();
@@ -127,14 +129,14 @@
         try {
             return Files.readSymbolicLink(descriptor).toString();
         } catch (IOException e) {
-            // The descriptor was closed after the directory was listed. It was no jar, as jars stay open.
+            // The descriptor was closed after the directory was listed. It was not that of a jar, as jars stay open.
             return "";
         }
     }
 
     /**
      * Returns the class path of the tests, with the classes under test packed into a jar. The jar stays open, as in
-     * production, so that a class which is loaded late takes up no descriptor.
+     * production, so that loading a class later opens no further descriptor.
      */
     private static String classPath() {
         String[] parts = System.getProperty("java.class.path").split(File.pathSeparator, -1);
--- a/src/test/java/gaugegw/proxy/testing/RawConnection.java
+++ b/src/test/java/gaugegw/proxy/testing/RawConnection.java
@@ -68,7 +68,7 @@
         return new Message(first, headers.toString(), new String(body, StandardCharsets.ISO_8859_1));
     }
 
-    /** Responds to all further requests in the same way, on a thread of its own, and adds the requests to a queue. */
+    /** Sends the same response to all further requests, on a background thread, and adds the requests to a queue. */
     public void respondToAll(String response, Queue<Message> received) {
         ScriptedServer.runInBackground(() -> {
             for (Message request = read(); request != null; request = read()) {
@@ -79,8 +79,8 @@
     }
 
     /**
-     * Waits until the peer closes or resets the connection. Returns false if it sends a byte before, or does neither
-     * within the timeout.
+     * Waits until the peer closes or resets the connection. Returns false if the peer sends a byte first, or if nothing
+     * happens within the timeout.
      */
     public boolean awaitClose() throws IOException {
         try {
@@ -95,7 +95,7 @@
     /**
      * Drops the bytes that the peer sends until it closes or resets the connection, then returns true.
      *
-     * @throws java.net.SocketTimeoutException if the peer does nothing within the timeout
+     * @throws java.net.SocketTimeoutException if the peer neither sends nor closes for the duration of the timeout
      */
     public boolean awaitCloseSkippingData() throws IOException {
         try {
--- a/src/test/java/gaugegw/proxy/testing/ScriptedServer.java
+++ b/src/test/java/gaugegw/proxy/testing/ScriptedServer.java
@@ -51,8 +51,8 @@
     }
 
     /**
-     * Responds to all further requests in the same way, on threads of its own. Returns a queue that receives the
-     * requests.
+     * Sends the same response to all further requests, on all connections that are accepted from now on, on background
+     * threads. Returns a queue that receives the requests.
      */
     public BlockingQueue<RawConnection.Message> respondToAll(String response) {
         var received = new LinkedBlockingQueue<RawConnection.Message>();
@@ -84,7 +84,7 @@
         return next;
     }
 
-    /** Polls a condition until it is true; for state whose changes are not reported by an event. */
+    /** Polls a condition until it is true, for at most 10 s; for changes of state that no event reports. */
     public static void await(BooleanSupplier condition) throws InterruptedException {
         long startedAtNs = System.nanoTime();
         while (!condition.getAsBoolean()) {
@@ -95,7 +95,7 @@
         }
     }
 
-    /** Blocks the calling thread until a latch is released; tests block the proxy's event loop with it. */
+    /** Blocks the calling thread, without a time limit, until a latch is released; used to block the event loop. */
     public static void await(CountDownLatch latch) {
         try {
             latch.await();
@@ -104,7 +104,7 @@
         }
     }
 
-    /** A task that uses a socket which may be closed meanwhile. */
+    /** A task that uses a socket, which may be closed while the task runs. */
     public interface SocketTask {
         void run() throws IOException;
     }
@@ -115,13 +115,14 @@
             try {
                 task.run();
             } catch (IOException e) {
-                // The test has ended or the peer has disconnected, so that the task has nothing more to do.
+                // The test has ended or the peer has disconnected, so the task has nothing more to do.
             }
         });
         thread.setDaemon(true);
         thread.start();
     }
 
+    /** Returns the port on which the server listens. */
     public int port() {
         return ((InetSocketAddress) server.getLocalSocketAddress()).getPort();
     }
