--- a/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
+++ b/src/main/java/gaugegw/proxy/lifecycle/ProxyServer.java
@@ -21,8 +21,8 @@
 
 /**
  * One proxy: creates and connects its parts, starts them, reloads the configuration, and drains and stops the proxy.
- * Its methods may be called on any thread except the event loop: several of them wait for the event loop and would
- * deadlock there. The proxy owns the event loop of its transport and ends it in {@link #stop}.
+ * Its methods may be called on any thread except the event loop, because several of them block until the event loop has
+ * run a task. The proxy owns the event loop of its transport and ends it in {@link #stop}.
  */
 public final class ProxyServer {
     private final ProxyConfig config;
